--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -5,6 +5,8 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <cmath>
+#include <cstdio>
+#include <cstdlib>
 #include <utility>
 
 namespace finchrun::sim {
@@ -146,6 +148,9 @@
 }
 
 Cluster::~Cluster() {
+  if (std::getenv("FINCHRUN_TRAFFIC_DIGEST"))
+    std::printf("traffic digest=%016llx messages=%llu\n", static_cast<unsigned long long>(traffic_.value()),
+                static_cast<unsigned long long>(traffic_.messages()));
   for (auto& n : nodes_)
     if (n) graveyard().push_back(std::shared_ptr<Node>(std::move(n)));
   core::Steady::simulate(std::nullopt);
@@ -371,8 +376,10 @@
       finish(std::nullopt);
       return;
     }
+    traffic_.add(now_, node, request.target, request.body, "", 0);
     asio::co_spawn(nodes_[node]->io, nodes_[node]->controller.handle(std::move(request)),
-                   [this, finish](std::exception_ptr, http::Response r) {
+                   [this, node, finish](std::exception_ptr, http::Response r) {
+                     traffic_.add(now_, node, "api", "", r.body, r.status);
                      if (chance(faults.lose_answer)) return;
                      post(delay(), [finish, r = std::move(r)] { finish(r); });
                    });
@@ -391,7 +398,8 @@
                             std::function<void(std::string)> done) {
   if (!nodes_[node]) return;
   asio::co_spawn(nodes_[node]->io, nodes_[node]->controller.handle_peer(frame),
-                 [this, done = std::move(done)](std::exception_ptr, std::string answer) {
+                 [this, node, frame, done = std::move(done)](std::exception_ptr, std::string answer) {
+                   traffic_.add(now_, node, "peer", frame, answer, 0);
                    if (chance(faults.lose_answer)) return;
                    post(delay(), [done, answer = std::move(answer)] { done(answer); });
                  });
@@ -399,6 +407,13 @@
 
 Answer Cluster::deliver(std::size_t node, const config::Endpoint& to, http::Verb verb,
                         const std::string& target, const std::string& body) {
+  auto answer = deliver_unseen(node, to, verb, target, body);
+  traffic_.add(now_, node, target, body, answer.body, answer.status);
+  return answer;
+}
+
+Answer Cluster::deliver_unseen(std::size_t node, const config::Endpoint& to, http::Verb verb,
+                               const std::string& target, const std::string& body) {
   if (to.host == "10.2.0.1")
     return refused.contains(node) ? Answer{503, "{}"} : state.handle(verb, target, body, now_);
   if (to.host == "10.2.0.2") return cloud.handle(verb, target, body, now_);
--- a/tests/sim/cluster.hpp
+++ b/tests/sim/cluster.hpp
@@ -8,6 +8,7 @@
 
 #include "app/controller.hpp"
 #include "sim/services.hpp"
+#include "sim/traffic_digest.hpp"
 
 namespace finchrun::sim {
 
@@ -52,6 +53,9 @@
                 const std::string& body, std::function<void(int, std::string)> done);
   // The controller that owns most parts, as the state service has it.
   [[nodiscard]] std::size_t busiest() const;
+  // Everything that has passed over the simulated sockets so far, with its time: equal for two builds that
+  // behave alike. It is printed when the cluster ends, if FINCHRUN_TRAFFIC_DIGEST is set.
+  [[nodiscard]] const TrafficDigest& traffic() const { return traffic_; }
   // It hangs that long; orders that reach it are carried out when it goes on.
   void hang(Worker& w, double for_s);
 
@@ -97,6 +101,8 @@
            double limit_s);
   Answer deliver(std::size_t node, const config::Endpoint& to, http::Verb verb, const std::string& target,
                  const std::string& body);
+  Answer deliver_unseen(std::size_t node, const config::Endpoint& to, http::Verb verb,
+                        const std::string& target, const std::string& body);
   [[nodiscard]] bool reachable(std::size_t node, const config::Endpoint& to) const;
   void check();
   void check_waiting();
@@ -111,6 +117,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<std::uint32_t> boots_;
   int next_job_ = 0;
+  TrafficDigest traffic_;
 };
 
 }  // namespace finchrun::sim
