--- a/.ci/lint.sh
+++ b/.ci/lint.sh
@@ -3,5 +3,5 @@
 # state/store) wait: clang 14 takes some of their C++20 for errors, and a few findings are open; see docs/results.md.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-find src/config src/jobs src/ledger src/membership src/sched src/wire src/worker src/state/mirror.cpp -name '*.cpp' |
+find src/config src/jobs src/ledger src/membership src/sched src/wire src/agent src/state/state_cache.cpp -name '*.cpp' |
   sort | xargs -P "$(nproc)" -I{} clang-tidy --quiet {} -- -std=c++20 -Isrc
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -30,13 +30,13 @@
       settings_(s),
       tuning_(t),
       links_(std::move(links)),
-      member_heard_(links_.size()),
-      member_state_seen_(links_.size()),
-      store_(network, s, detour()),
+      peer_heard_(links_.size()),
+      peer_state_seen_(links_.size()),
+      store_(network, s, peer_relay()),
       cloud_(network, s),
-      world_(s, t),
-      sync_wake_(io),
-      writer_wake_(io),
+      state_(s, t),
+      sync_wakeup_(io),
+      writer_wakeup_(io),
       random_(seed) {}
 
 void Controller::listen() {
@@ -57,9 +57,9 @@
 void Controller::start() {
   if (!links_.empty()) asio::co_spawn(io_, peer_loop(), ended);
   asio::co_spawn(io_, member_loop(), ended);
-  asio::co_spawn(io_, sync_loop(), ended);
-  asio::co_spawn(io_, claim_loop(), ended);
-  asio::co_spawn(io_, push_loop(), ended);
+  asio::co_spawn(io_, follow_changes_loop(), ended);
+  asio::co_spawn(io_, leadership_loop(), ended);
+  asio::co_spawn(io_, probe_loop(), ended);
   asio::co_spawn(io_, stop_loop(), ended);
   asio::co_spawn(io_, writer_loop(), ended);
   asio::co_spawn(io_, cloud_loop(), ended);
--- a/src/app/evictions.cpp
+++ b/src/app/evictions.cpp
@@ -10,23 +10,23 @@
 namespace finchrun::app {
 namespace {
 
-// Tasks of the part that could be stopped, and what that would cost.
-std::vector<sched::Running> running_in(const World& w, core::PartId part, const std::set<core::JobId>& within,
-                                       core::TimePoint now) {
+// Tasks of the partition that could be stopped, and what that would cost.
+std::vector<sched::RunningTask> running_in(const ControllerState& w, core::PartitionId partition,
+                                           const std::set<core::JobId>& within, core::TimePoint now) {
   constexpr double kGapS = 30;
   constexpr double kYoung = 30;  // a start that is stopped sooner than this was none, to its user
-  std::vector<sched::Running> out;
-  w.mirror.each_named_machine([&](core::MachineId machine, const std::vector<state::Placed>& list) {
-    for (const auto& [id, in_part, e] : list) {
-      if (in_part != part) continue;
-      const auto* job = w.mirror.job(id);
+  std::vector<sched::RunningTask> out;
+  w.cache.each_named_machine([&](core::MachineId machine, const std::vector<state::MachineAssignment>& list) {
+    for (const auto& [id, in_partition, e] : list) {
+      if (in_partition != partition) continue;
+      const auto* job = w.cache.job(id);
       if (!job || job->status != jobs::Status::live) continue;
-      const worker::Start start{id, e.task, e.attempt};
-      if (w.fleet.to_stop.contains(start)) continue;
-      if (w.fleet.ended(id, part, e)) continue;
-      const auto seen = w.fleet.seen.find(start);
-      const double ran = seen == w.fleet.seen.end() ? 0 : core::since(seen->second, now);
-      sched::Running r;
+      const agent::TaskAttempt start{id, e.task, e.attempt};
+      if (w.fleet.preempting.contains(start)) continue;
+      if (w.fleet.ended(id, partition, e)) continue;
+      const auto seen = w.fleet.confirmed_starts.find(start);
+      const double ran = seen == w.fleet.confirmed_starts.end() ? 0 : core::since(seen->second, now);
+      sched::RunningTask r;
       r.job = id;
       r.team = job->spec.team;
       r.task = e.task;
@@ -39,7 +39,7 @@
       // What stopping a replica costs is the gap until another one runs, not the time that it has run.
       r.loss_s = job->spec.standing() ? kGapS : job->spec.checkpoint_s > 0 ? job->spec.save_s + 5 : ran;
       if (ran < kYoung) r.loss_s += 20;
-      r.left_s = std::max(job->spec.expect_s - ran, 0.1 * job->spec.expect_s + 1);
+      r.left_s = std::max(job->spec.expected_run_s - ran, 0.1 * job->spec.expected_run_s + 1);
       out.push_back(r);
     }
   });
@@ -50,151 +50,154 @@
 
 // Tasks on machines that the cloud is about to take save what they have and start again elsewhere; a gang as
 // a whole.
-void Controller::drain(World& w) {
+void Controller::drain(ControllerState& w) {
   std::set<core::JobId> gangs;
-  const auto stop = [&](core::JobId id, const jobs::JobSpec& spec, const jobs::Entry& e) {
+  const auto stop = [&](core::JobId id, const jobs::JobSpec& spec, const jobs::TaskAssignment& e) {
     const double grace = spec.stop_grace_s();
-    if (w.fleet.to_stop.try_emplace({id, e.task, e.attempt}, grace).second)
+    if (w.fleet.preempting.try_emplace({id, e.task, e.attempt}, grace).second)
       spdlog::info("drain job={} task={} try={} machine={}", w.names.jobs.name(id), e.task, e.attempt,
                    w.names.machines.name(e.machine));
   };
   for (const auto& [id, m] : w.fleet.all()) {
-    if (!m.notice_s || !m.part.valid() || !w.acting(m.part)) continue;
-    for (const auto& placed : w.mirror.on_machine(id)) {
-      const auto* job = w.mirror.job(placed.job);
+    if (!m.termination_notice_s || !m.partition.valid() || !w.leads(m.partition)) continue;
+    for (const auto& placed : w.cache.on_machine(id)) {
+      const auto* job = w.cache.job(placed.job);
       if (!job || job->status != jobs::Status::live) continue;
-      if (*m.notice_s > job->spec.save_s + 2 * w.s.report_s + 4) continue;
+      if (*m.termination_notice_s > job->spec.save_s + 2 * w.settings.report_s + 4) continue;
       if (job->spec.gang()) {
         gangs.insert(placed.job);
       } else {
-        stop(placed.job, job->spec, placed.entry);
+        stop(placed.job, job->spec, placed.assignment);
       }
     }
   }
   for (const auto id : gangs) {
-    w.mirror.each_run(id, [&](core::PartId part, const jobs::RunRecord& run) {
-      if (!w.acting(part)) return;
-      for (const auto& e : run.entries) stop(id, w.mirror.job(id)->spec, e);
+    w.cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
+      if (!w.leads(partition)) return;
+      for (const auto& e : run.assignments) stop(id, w.cache.job(id)->spec, e);
     });
   }
 }
 
-// Every few seconds a report asks what to do; on a machine that reaches nobody, none does. A stop sent
-// straight to the worker also follows a start that is held up on its way, under the same token.
+// Every few seconds a heartbeat asks what to do; on a machine that reaches nobody, none does. A stop sent
+// straight to the agent also follows a start that is held up on its way, under the same fencing token.
 asio::awaitable<void> Controller::stop_loop() {
   constexpr std::size_t kMostInFlight = 32;  // to machines that don't answer: each holds a socket for seconds
   constexpr double kFirstPause = 1, kLongestPause = 8;
   while (true) {
     co_await sleep(0.2);
     const auto now = core::Steady::now();
-    std::map<core::MachineId, std::vector<wire::Order>> stops;
-    world_.with([&](World& w) {
-      std::erase_if(w.fleet.stopping, [&](const auto& item) {
-        return !w.mirror.cancelled_with_tasks().contains(std::get<core::JobId>(item.first));
+    std::map<core::MachineId, std::vector<wire::Command>> stops;
+    state_.with([&](ControllerState& w) {
+      std::erase_if(w.fleet.stop_retries, [&](const auto& item) {
+        return !w.cache.cancelled_with_tasks().contains(std::get<core::JobId>(item.first));
       });
-      for (const auto id : w.mirror.cancelled_with_tasks()) {
-        w.mirror.each_run(id, [&](core::PartId part, const jobs::RunRecord& run) {
-          if (!w.acting(part)) return;
-          for (const auto& e : run.entries) {
+      for (const auto id : w.cache.cancelled_with_tasks()) {
+        w.cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
+          if (!w.leads(partition)) return;
+          for (const auto& e : run.assignments) {
             const auto* m = w.fleet.find(e.machine);
-            if (!m || !m->reported || m->gone || w.fleet.ended(id, part, e)) continue;
-            auto& again = w.fleet.stopping[{id, e.task, e.attempt}];
+            if (!m || !m->has_heartbeat || m->gone || w.fleet.ended(id, partition, e)) continue;
+            auto& again = w.fleet.stop_retries[{id, e.task, e.attempt}];
             if (again.next > now) continue;
             if (stops_in_flight_ + stops.size() >= kMostInFlight && !stops.contains(e.machine)) continue;
-            auto& orders = stops[e.machine];
-            if (orders.size() >= wire::kMaxOrders) continue;
+            auto& commands = stops[e.machine];
+            if (commands.size() >= wire::kMaxCommands) continue;
             again.next = now + jitter(std::min(kLongestPause, kFirstPause * (1 << std::min(again.tries, 4))));
             ++again.tries;
-            orders.push_back({wire::Order::Kind::stop, w.names.jobs.name(id), e.task, e.attempt, 0});
+            commands.push_back({wire::Command::Kind::stop, w.names.jobs.name(id), e.task, e.attempt, 0});
           }
         });
       }
     });
-    for (auto& [machine, orders] : stops)
-      asio::co_spawn(io_, stop(machine, std::move(orders)), asio::detached);
+    for (auto& [machine, commands] : stops)
+      asio::co_spawn(io_, stop(machine, std::move(commands)), asio::detached);
   }
 }
 
-asio::awaitable<void> Controller::stop(core::MachineId machine, std::vector<wire::Order> orders) {
+asio::awaitable<void> Controller::stop(core::MachineId machine, std::vector<wire::Command> commands) {
   ++stops_in_flight_;
-  co_await send(machine, std::move(orders), {});
+  co_await send(machine, std::move(commands), {});
   --stops_in_flight_;
 }
 
-void Controller::make_room(core::PartId part, const sched::Plan& plan, std::vector<sched::Demand>& demands,
-                           const RoundView& view, std::size_t machines, core::TimePoint now) {
+void Controller::preempt_and_reserve(core::PartitionId partition, const sched::Plan& plan,
+                                     std::vector<sched::Demand>& demands, const RoundView& view,
+                                     std::size_t machines, core::TimePoint now) {
   if (plan.unplaced.empty()) return;
-  auto running = world_.with([&](World& w) { return running_in(w, part, view.within, now); });
-  const auto evictions = sched::preempt(plan.nodes, demands, plan.unplaced, running, plan.teams, view.claims);
-  for (const auto& e : evictions) {
-    start_eviction(e, demands[e.demand], running, now);
+  auto running = state_.with([&](ControllerState& w) { return running_in(w, partition, view.within, now); });
+  const auto preemptions =
+      sched::preempt(plan.nodes, demands, plan.unplaced, running, plan.teams, view.guarantees);
+  for (const auto& e : preemptions) {
+    start_preemption(e, demands[e.demand], running, now);
     demands[e.demand].has_reservation = true;
   }
   // What this round places runs there too: without it a machine that is being filled seems never to come
   // free.
   for (const auto& p : plan.placements) {
     const auto& d = demands[p.demand];
-    sched::Running r;
+    sched::RunningTask r;
     r.job = d.job;
     r.machine = p.machine;
     r.need = d.need;
-    r.left_s = d.expect_s;
+    r.left_s = d.expected_run_s;
     running.push_back(r);
   }
   // Nodes that were just reserved are kept from the gatherers too.
   auto nodes = plan.nodes;
   std::map<core::MachineId, core::JobId> taken;
-  for (const auto& e : evictions)
+  for (const auto& e : preemptions)
     for (const auto id : e.machines) taken[id] = demands[e.demand].job;
   for (auto& n : nodes)
     if (const auto t = taken.find(n.id); t != taken.end()) n.reserved_for = t->second;
-  const auto gatherings = sched::gather(nodes, demands, plan.unplaced, running, plan.teams,
-                                        tuning_.gather_patience_s, std::max<std::size_t>(1, machines / 4));
-  world_.with([&](World& w) {
-    for (const auto& g : gatherings) {
+  const auto reservations =
+      sched::reserve_for_gangs(nodes, demands, plan.unplaced, running, plan.teams,
+                               tuning_.gang_reservation_delay_s, std::max<std::size_t>(1, machines / 4));
+  state_.with([&](ControllerState& w) {
+    for (const auto& g : reservations) {
       auto& d = demands[g.demand];
       d.has_reservation = true;
       // Estimates are often wrong: after a while the gang looks for other machines.
       constexpr double kLongest = 60;
       spdlog::info("gather job={} tasks={} machines={} part={} in_s={:.0f}", w.names.jobs.name(d.job),
-                   d.tasks.size(), g.machines.size(), w.names.parts.name(part), g.in_s);
+                   d.tasks.size(), g.machines.size(), w.names.partitions.name(partition), g.in_s);
       for (const auto id : g.machines) {
         auto* m = w.fleet.find(id);
         if (!m) continue;
         m->reserved_for = d.job;
         m->reserved_ready = now + core::secs(g.in_s);
-        m->reserved_until = now + core::secs(std::min(kLongest, g.in_s * 1.5 + 2 * w.s.report_s + 5));
+        m->reserved_until = now + core::secs(std::min(kLongest, g.in_s * 1.5 + 2 * w.settings.report_s + 5));
       }
     }
   });
 }
 
-void Controller::start_eviction(const sched::Eviction& e, const sched::Demand& d,
-                                const std::vector<sched::Running>& running, core::TimePoint now) {
-  std::map<core::MachineId, std::vector<wire::Order>> stops;
-  world_.with([&](World& w) {
+void Controller::start_preemption(const sched::Preemption& e, const sched::Demand& d,
+                                  const std::vector<sched::RunningTask>& running, core::TimePoint now) {
+  std::map<core::MachineId, std::vector<wire::Command>> stops;
+  state_.with([&](ControllerState& w) {
     double longest = 0;
     for (const auto v : e.victims) {
       const auto& r = running[v];
       // All of a gang must hear it within gang_peer_s of each other, with time to save.
-      const double grace = w.mirror.job(r.job)->spec.stop_grace_s();
+      const double grace = w.cache.job(r.job)->spec.stop_grace_s();
       longest = std::max(longest, grace);
-      w.fleet.to_stop[{r.job, r.task, r.attempt}] = grace;
+      w.fleet.preempting[{r.job, r.task, r.attempt}] = grace;
       spdlog::info("preempt job={} task={} try={} machine={} for={}", w.names.jobs.name(r.job), r.task,
                    r.attempt, w.names.machines.name(r.machine), w.names.jobs.name(d.job));
       stops[r.machine].push_back(
-          {wire::Order::Kind::stop, w.names.jobs.name(r.job), r.task, r.attempt, grace});
+          {wire::Command::Kind::stop, w.names.jobs.name(r.job), r.task, r.attempt, grace});
     }
     for (const auto id : e.machines) {
       auto* m = w.fleet.find(id);
       if (!m) continue;
       m->reserved_for = d.job;
       m->reserved_ready = now + core::secs(longest);
-      m->reserved_until = now + core::secs(longest + 2 * w.s.report_s + 4);
+      m->reserved_until = now + core::secs(longest + 2 * w.settings.report_s + 4);
     }
   });
-  for (auto& [machine, orders] : stops)
-    asio::co_spawn(io_, send(machine, std::move(orders), {}), asio::detached);
+  for (auto& [machine, commands] : stops)
+    asio::co_spawn(io_, send(machine, std::move(commands), {}), asio::detached);
 }
 
 }  // namespace finchrun::app
--- a/src/app/shard_split.cpp
+++ b/src/app/shard_split.cpp
@@ -4,10 +4,10 @@
 namespace {
 
 // Fills one shard after the other.
-class Spreader {
+class ShardFiller {
  public:
-  Spreader(ShardContents first, std::size_t most_bytes, const jobs::Names& names)
-      : names_(names), most_bytes_(most_bytes), bytes_(bytes_at_most(first, names)) {
+  ShardFiller(ShardContents first, std::size_t max_bytes, const jobs::Names& names)
+      : names_(names), max_bytes_(max_bytes), bytes_(bytes_at_most(first, names)) {
     shards_.push_back(std::move(first));
   }
   // Puts one thing of the job into the newest shard, or into one more if that is full.
@@ -15,11 +15,11 @@
   void put(core::JobId id, Add&& add) {
     auto& newest = shards_.back();
     const auto known = newest.find(id);
-    auto run = known == newest.end() ? jobs::RunRecord{} : known->second;
+    auto run = known == newest.end() ? jobs::JobAssignments{} : known->second;
     const auto before = known == newest.end() ? 0 : jobs::bytes_at_most(run, names_);
     add(run);
     const auto bytes = bytes_ + jobs::bytes_at_most(run, names_) - before;
-    if (bytes <= most_bytes_) {
+    if (bytes <= max_bytes_) {
       bytes_ = bytes;
       newest[id] = std::move(run);
       return;
@@ -30,10 +30,11 @@
   }
   void put_done(core::JobId id, const jobs::Intervals& done) {
     for (const auto& span : done.spans())
-      put(id, [&](jobs::RunRecord& to) { to.done.add(span.first, span.second); });
+      put(id, [&](jobs::JobAssignments& to) { to.done.add(span.first, span.second); });
   }
-  void put_entries(core::JobId id, const std::vector<jobs::Entry>& entries) {
-    for (const auto& entry : entries) put(id, [&](jobs::RunRecord& to) { to.entries.push_back(entry); });
+  void put_assignments(core::JobId id, const std::vector<jobs::TaskAssignment>& assignments) {
+    for (const auto& assignment : assignments)
+      put(id, [&](jobs::JobAssignments& to) { to.assignments.push_back(assignment); });
   }
   void next_shard() {
     shards_.emplace_back();
@@ -43,7 +44,7 @@
 
  private:
   const jobs::Names& names_;
-  std::size_t most_bytes_, bytes_;
+  std::size_t max_bytes_, bytes_;
   std::vector<ShardContents> shards_;
 };
 
@@ -67,8 +68,8 @@
 std::optional<std::vector<ShardContents>> split_shard(const ShardContents& contents, const SplitRules& rules,
                                                       const jobs::Names& names) {
   auto first = done_that_stays(contents, rules);
-  if (bytes_at_most(first, names) > rules.most_bytes) return std::nullopt;
-  Spreader spreader(std::move(first), rules.most_bytes, names);
+  if (bytes_at_most(first, names) > rules.max_bytes) return std::nullopt;
+  ShardFiller spreader(std::move(first), rules.max_bytes, names);
   bool some_leave = false;
   for (const auto& [id, run] : contents) {
     if (rules.must_leave.contains(id)) {
@@ -76,16 +77,16 @@
       continue;
     }
     if (!rules.done_stays.contains(id)) spreader.put_done(id, run.done);
-    spreader.put_entries(id, run.entries);
+    spreader.put_assignments(id, run.assignments);
   }
   if (some_leave) spreader.next_shard();
   for (const auto& [id, run] : contents) {
     if (!rules.must_leave.contains(id)) continue;
     spreader.put_done(id, run.done);
-    spreader.put_entries(id, run.entries);
+    spreader.put_assignments(id, run.assignments);
   }
   auto shards = spreader.take();
-  if (shards.size() > rules.most_shards) return std::nullopt;
+  if (shards.size() > rules.max_shards) return std::nullopt;
   return shards;
 }
 
--- a/src/app/shard_split.hpp
+++ b/src/app/shard_split.hpp
@@ -11,14 +11,14 @@
 namespace finchrun::app {
 
 // What one shard holds, by job.
-using ShardContents = std::map<core::JobId, jobs::RunRecord>;
+using ShardContents = std::map<core::JobId, jobs::JobAssignments>;
 
 // Bytes that the contents take in their shard at most.
 std::size_t bytes_at_most(const ShardContents& contents, const jobs::Names& names);
 
 struct SplitRules {
-  std::size_t most_bytes = 0;        // of each shard
-  std::size_t most_shards = 0;       // with the one that is split
+  std::size_t max_bytes = 0;         // of each shard
+  std::size_t max_shards = 0;        // with the one that is split
   std::set<core::JobId> done_stays;  // what is done of these stays in the shard that is split
   std::set<core::JobId> must_leave;  // nothing of these stays in the shard that is split
 };
--- a/src/app/users.cpp
+++ b/src/app/users.cpp
@@ -1,4 +1,4 @@
-// The interface of users, workers and health checks.
+// The interface of users, agents and health checks.
 #include <spdlog/spdlog.h>
 
 #include "app/controller.hpp"
@@ -6,7 +6,7 @@
 namespace finchrun::app {
 namespace {
 
-using state::Outcome;
+using state::CommitStatus;
 
 http::Response error(int status, std::string_view why, std::optional<int> retry_after = std::nullopt) {
   return {status, wire::render_error(why), retry_after};
@@ -14,12 +14,13 @@
 http::Response later(std::string_view why, int seconds = 1) { return error(503, why, seconds); }
 
 // Checks what needs the deployment's names. Nothing if it can run; else why it never can.
-std::optional<std::string> never_runs(const World& w, const wire::Submission& s, const jobs::JobSpec& spec) {
-  const auto team =
-      std::find_if(w.s.teams.begin(), w.s.teams.end(), [&](const auto& t) { return t.name == s.team; });
-  if (team == w.s.teams.end()) return "unknown team";
+std::optional<std::string> never_runs(const ControllerState& w, const wire::Submission& s,
+                                      const jobs::JobSpec& spec) {
+  const auto team = std::find_if(w.settings.teams.begin(), w.settings.teams.end(),
+                                 [&](const auto& t) { return t.name == s.team; });
+  if (team == w.settings.teams.end()) return "unknown team";
   std::set<std::string> zones;  // in which a task fits some allowed type
-  for (const auto& f : w.fleet.flavors) {
+  for (const auto& f : w.fleet.machine_types) {
     if (s.types && std::find(s.types->begin(), s.types->end(), f.name) == s.types->end()) continue;
     if (!spec.need.fits(f.size)) continue;
     for (const auto& zone : f.zones)
@@ -27,13 +28,13 @@
   }
   if (zones.empty()) return "a task fits no allowed machine type";
   const double n = spec.needs_all_tasks() ? spec.tasks : 1;
-  const sched::TeamRoom empty{{}, team->cpus_max, team->gpus_max};
+  const sched::TeamQuota empty{{}, team->cpus_max, team->gpus_max};
   if (!empty.allows(spec.need * n)) return "the job needs more than its team's limit";
   if (spec.needs_all_tasks() && spec.one_zone && spec.spread && spec.tasks > 1)
     return "together and scatter exclude each other";
   if (spec.needs_all_tasks() && spec.spread && spec.tasks > 1 && zones.size() < 2)
     return "scatter needs a second zone that allows its tasks";
-  if (spec.gang() && spec.tasks > PartWriter::most_entries(w.s.state_limits))
+  if (spec.gang() && spec.tasks > AssignmentWriter::most_assignments(w.settings.state_limits))
     return "pieces: more than can be recorded to start together";
   return std::nullopt;
 }
@@ -86,17 +87,17 @@
 }
 
 http::Response Controller::status_of(core::JobId id) {
-  return world_.with([&](World& w) {
+  return state_.with([&](ControllerState& w) {
     const auto& name = w.names.jobs.name(id);
-    const auto* job = w.mirror.job(id);
-    if (!job) return w.mirror.unreadable(id) ? later("state unknown") : error(404, "no such job");
+    const auto* job = w.cache.job(id);
+    if (!job) return w.cache.unreadable(id) ? later("state unknown") : error(404, "no such job");
     if (job->status == jobs::Status::cancelled)
       return http::Response{200, wire::render_status(name, "cancelled")};
     if (job->status == jobs::Status::done)
       return http::Response{200, wire::render_status(name, "done", job->spec.tasks, 0)};
-    const auto running = w.mirror.placed(id);
+    const auto running = w.cache.placed(id);
     return http::Response{
-        200, wire::render_status(name, running > 0 ? "running" : "pending", w.mirror.done(id), running)};
+        200, wire::render_status(name, running > 0 ? "running" : "pending", w.cache.done(id), running)};
   });
 }
 
@@ -106,34 +107,36 @@
 bool Controller::healthy() {
   constexpr double kFresh = 3.0, kHeard = 4.0;
   const auto now = core::Steady::now();
-  if (world_.with([&](World& w) { return w.loaded && core::since(w.synced_at, now) < kFresh; })) return true;
-  const bool alone = std::none_of(member_heard_.begin(), member_heard_.end(),
+  if (state_.with(
+          [&](ControllerState& w) { return w.loaded && core::since(w.synchronized_at, now) < kFresh; }))
+    return true;
+  const bool alone = std::none_of(peer_heard_.begin(), peer_heard_.end(),
                                   [&](core::TimePoint t) { return core::since(t, now) < kHeard; });
-  return !member_in_touch_with_state() && !(alone && !links_.empty());
+  return !peer_in_touch_with_store() && !(alone && !links_.empty());
 }
 
 // Nothing can be proved or recorded at present, directly or through a member: that is said at once.
-bool Controller::out_of_touch_with_state() {
+bool Controller::out_of_touch_with_store() {
   constexpr double kPatience = 2.0;
   const auto now = core::Steady::now();
-  const bool stale =
-      world_.with([&](World& w) { return !w.loaded || core::since(w.synced_at, now) > kPatience; });
-  return stale && !member_in_touch_with_state();
+  const bool stale = state_.with(
+      [&](ControllerState& w) { return !w.loaded || core::since(w.synchronized_at, now) > kPatience; });
+  return stale && !peer_in_touch_with_store();
 }
 
 asio::awaitable<http::Response> Controller::query(const std::string& id) {
   // A final state can't change any more: the copy is proof enough.
-  const auto final_id = world_.with([&](World& w) -> std::optional<core::JobId> {
+  const auto final_id = state_.with([&](ControllerState& w) -> std::optional<core::JobId> {
     const auto known = w.names.jobs.find(id);
     if (!known) return std::nullopt;
-    const auto* job = w.mirror.job(*known);
+    const auto* job = w.cache.job(*known);
     return job && job->status != jobs::Status::live ? known : std::nullopt;
   });
   if (final_id) co_return status_of(*final_id);
-  if (out_of_touch_with_state()) co_return later("no news from the state service");
-  if (!co_await barrier(core::Steady::now() + std::chrono::milliseconds(1200)))
+  if (out_of_touch_with_store()) co_return later("no news from the state service");
+  if (!co_await linearizable_read(core::Steady::now() + std::chrono::milliseconds(1200)))
     co_return later("state unknown");
-  const auto known = world_.with([&](World& w) { return w.names.jobs.find(id); });
+  const auto known = state_.with([&](ControllerState& w) { return w.names.jobs.find(id); });
   if (!known) co_return error(404, "no such job");
   co_return status_of(*known);
 }
@@ -145,39 +148,39 @@
 
   enum class Next { known, never, undecided, too_early, go };
   std::string why;
-  state::Txn txn;
-  const Next next = world_.with([&](World& w) {
+  state::Transaction txn;
+  const Next next = state_.with([&](ControllerState& w) {
     if (w.find_job(s.id)) return Next::known;
-    if (!w.loaded || w.fleet.flavors.empty()) return Next::undecided;
+    if (!w.loaded || w.fleet.machine_types.empty()) return Next::undecided;
     if (auto never = never_runs(w, s, s.spec)) {
       why = *never;
       return Next::never;
     }
     if (s.spec.standing() && !w.all_members_know(state::kStandingJobs)) return Next::too_early;
     auto& spec = s.spec;
-    spec.lane = w.names.lanes.intern(s.lane);
+    spec.job_class = w.names.job_classes.intern(s.job_class);
     spec.team = *w.names.teams.find(s.team);
     spec.image = w.names.images.intern(s.image);
     if (s.zone) spec.zone = w.names.zones.intern(*s.zone);
     if (s.types) {
       spec.types.emplace();
       for (const auto& t : *s.types)
-        if (auto id = w.names.types.find(t); id && w.fleet.flavor(*id)) spec.types->push_back(*id);
+        if (auto id = w.names.types.find(t); id && w.fleet.machine_type(*id)) spec.types->push_back(*id);
     }
     spec.submitted_s = core::wall_s();
     jobs::JobRecord record;
     record.spec = spec;
-    record.ranges = sched::deal(spec, part_rooms(w, spec, core::Steady::now()));
+    record.ranges = sched::distribute(spec, partition_capacities(w, spec, core::Steady::now()));
     // Those that come in the next moment see that these wait too.
     for (const auto& r : record.ranges)
-      w.load.waiting.at(r.part.v) += spec.need * static_cast<double>(r.to - r.from);
+      w.load.waiting.at(r.partition.index) += spec.need * static_cast<double>(r.to - r.from);
     auto value = jobs::to_json(record, w.names);
-    if (boost::json::serialize(value).size() > w.s.state_limits.value_bytes()) {
+    if (boost::json::serialize(value).size() > w.settings.state_limits.value_bytes()) {
       why = std::string(longest_field(s)) + ": too long to be recorded";
       return Next::never;
     }
-    txn.when.push_back({state::keys::job(s.id), 0});
-    txn.then.push_back({state::keys::job(s.id), std::move(value)});
+    txn.compares.push_back({state::keys::job(s.id), 0});
+    txn.writes.push_back({state::keys::job(s.id), std::move(value)});
     return Next::go;
   });
   // 422 and 400 are final to the user, so they are only given when this node is sure that the job is not
@@ -185,29 +188,29 @@
   if (next == Next::undecided) co_return later("not ready to decide");
   // A controller of an earlier version would take the replicas for tasks that end.
   if (next == Next::too_early) co_return later("standing jobs wait for the upgrade of all controllers", 5);
-  if (out_of_touch_with_state()) co_return later("no news from the state service");
+  if (out_of_touch_with_store()) co_return later("no news from the state service");
   if (next == Next::never) {
-    if (!co_await barrier(core::Steady::now() + std::chrono::milliseconds(1200)))
+    if (!co_await linearizable_read(core::Steady::now() + std::chrono::milliseconds(1200)))
       co_return later("state unknown");
-    const bool known = world_.with([&](World& w) { return w.find_job(s.id) != nullptr; });
+    const bool known = state_.with([&](ControllerState& w) { return w.find_job(s.id) != nullptr; });
     if (!known) co_return error(422, why);
   }
   if (next == Next::known || next == Next::never) co_return co_await query(s.id);
 
-  if (!store_.spend(1, state::Store::For::users)) co_return later("too many submissions");
+  if (!store_.spend(1, state::KeyValueStore::For::users)) co_return later("too many submissions");
   const auto result = co_await commit(std::move(txn));
   switch (result.outcome) {
-    case Outcome::done:
+    case CommitStatus::done:
       spdlog::info("accepted job={} team={} tasks={} shape={}", s.id, s.team, s.spec.tasks,
                    jobs::name_of(s.spec.shape));
       co_return http::Response{201, wire::render_status(s.id, "pending")};
-    case Outcome::conflict:
+    case CommitStatus::conflict:
       co_return co_await query(s.id);
-    case Outcome::unknown: {
+    case CommitStatus::unknown: {
       // It might be applied: what the record says after it decides.
-      if (!co_await barrier(core::Steady::now() + std::chrono::milliseconds(1000)))
+      if (!co_await linearizable_read(core::Steady::now() + std::chrono::milliseconds(1000)))
         co_return later("state unknown");
-      const bool known = world_.with([&](World& w) { return w.find_job(s.id) != nullptr; });
+      const bool known = state_.with([&](ControllerState& w) { return w.find_job(s.id) != nullptr; });
       if (known) co_return co_await query(s.id);
       co_return later("state unknown");
     }
@@ -219,57 +222,57 @@
 asio::awaitable<http::Response> Controller::abort(const std::string& id) {
   const auto deadline = core::Steady::now() + std::chrono::milliseconds(3000);
   for (int attempt = 0; attempt < 5 && core::Steady::now() < deadline; ++attempt) {
-    state::Txn txn;
+    state::Transaction txn;
     enum class Next { unknown, final, go };
     core::JobId job_id;
-    const Next next = world_.with([&](World& w) {
+    const Next next = state_.with([&](ControllerState& w) {
       const auto known = w.names.jobs.find(id);
-      const auto* job = known ? w.mirror.job(*known) : nullptr;
+      const auto* job = known ? w.cache.job(*known) : nullptr;
       if (!job) return Next::unknown;
       job_id = *known;
       if (job->status != jobs::Status::live) return Next::final;
       jobs::JobRecord over;
       over.status = jobs::Status::cancelled;
       over.spec = job->spec;
-      txn.when.push_back({state::keys::job(id), job->stamp});
-      txn.then.push_back({state::keys::job(id), jobs::to_json(over, w.names)});
+      txn.compares.push_back({state::keys::job(id), job->revision});
+      txn.writes.push_back({state::keys::job(id), jobs::to_json(over, w.names)});
       return Next::go;
     });
     if (next == Next::final) co_return status_of(job_id);
-    if (out_of_touch_with_state()) co_return later("no news from the state service");
+    if (out_of_touch_with_store()) co_return later("no news from the state service");
     if (next == Next::go) {
       // Not held up by the write budget: cancellations must not be starved by anything.
-      store_.spend(1, state::Store::For::users);
+      store_.spend(1, state::KeyValueStore::For::users);
       const auto result = co_await commit(std::move(txn));
-      if (result.outcome == Outcome::done) {
+      if (result.outcome == CommitStatus::done) {
         spdlog::info("cancelled job={}", id);
         announce_cancellation(id);
         co_return status_of(job_id);
       }
-      if (result.outcome == Outcome::refused) co_return later("state service refuses");
+      if (result.outcome == CommitStatus::refused) co_return later("state service refuses");
     }
-    if (!co_await barrier(deadline)) co_return later("state unknown");
-    if (next == Next::unknown && !world_.with([&](World& w) { return w.find_job(id) != nullptr; }))
+    if (!co_await linearizable_read(deadline)) co_return later("state unknown");
+    if (next == Next::unknown && !state_.with([&](ControllerState& w) { return w.find_job(id) != nullptr; }))
       co_return error(404, "no such job");
   }
   co_return later("state unknown");
 }
 
-http::Response Controller::report(const std::string& body) {
-  auto parsed = wire::parse_report(body);
+http::Response Controller::heartbeat(const std::string& body) {
+  auto parsed = wire::parse_heartbeat(body);
   if (const auto* bad = std::get_if<wire::Malformed>(&parsed)) return error(400, bad->why);
-  const auto& r = std::get<wire::Report>(parsed);
+  const auto& r = std::get<wire::Heartbeat>(parsed);
   const auto now = core::Steady::now();
   bool changed = false;
-  auto response = world_.with([&](World& w) -> http::Response {
+  auto response = state_.with([&](ControllerState& w) -> http::Response {
     const auto zone = w.names.zones.find(r.zone);
-    const auto part = zone ? w.parts.part_of(r.machine, *zone) : std::nullopt;
-    if (!part) return http::Response{421, wire::render_moved(std::nullopt)};
-    if (!w.acting(*part)) {
-      const auto& owner = w.mirror.claim(*part).owner;
-      const bool elsewhere = w.loaded && !owner.empty() && owner != w.s.label && w.alive(owner);
+    const auto partition = zone ? w.partitions.partition_of(r.machine, *zone) : std::nullopt;
+    if (!partition) return http::Response{421, wire::render_redirect(std::nullopt)};
+    if (!w.leads(*partition)) {
+      const auto& leader = w.cache.leadership(*partition).leader;
+      const bool elsewhere = w.loaded && !leader.empty() && leader != w.settings.label && w.alive(leader);
       if (!elsewhere) return later("no owner");
-      return http::Response{421, wire::render_moved(owner)};
+      return http::Response{421, wire::render_redirect(leader)};
     }
     if (!w.may_renew_leases(now)) return later("no news from the state service");
     // A late copy, or the cloud is slower than its answer: it does not bring the machine back.
@@ -278,17 +281,18 @@
     if (m.first_seen == core::TimePoint{}) m.first_seen = now;
     m.type = w.names.types.intern(r.type);
     m.zone = *zone;
-    m.part = *part;
+    m.partition = *partition;
     m.spot = r.spot;
     auto result = w.take(m, r, now, false);
-    if (result.kind == worker::ReportResult::Kind::deposed)
-      return http::Response{421, wire::render_moved(std::nullopt)};
+    if (result.kind == agent::HeartbeatResult::Kind::deposed)
+      return http::Response{421, wire::render_redirect(std::nullopt)};
     changed = result.changed;
-    // An older report changes nothing and is answered without orders: an answer to one of our direct orders
-    // may have overtaken it, and turning its worker away would only send it round the other controllers.
-    return http::Response{200, wire::render_orders(w.token(*part), result.orders)};
+    // An older heartbeat changes nothing and is answered without commands: an answer to one of our direct
+    // commands may have overtaken it, and turning its agent away would only send it round the other
+    // controllers.
+    return http::Response{200, wire::render_commands(w.fencing_token(*partition), result.commands)};
   });
-  if (changed) writer_wake_.cancel();
+  if (changed) writer_wakeup_.cancel();
   return response;
 }
 
--- a/src/app/waiting.hpp
+++ b/src/app/waiting_tasks.hpp
@@ -1,23 +1,23 @@
-// Which tasks of a job wait, by the records of all parts.
+// Which tasks of a job wait, by the records of all partitions.
 #pragma once
 
 #include <cstdint>
 #include <vector>
 
 #include "core/ids.hpp"
-#include "state/mirror.hpp"
+#include "state/state_cache.hpp"
 
 namespace finchrun::app {
 
 class WaitingTasks {
  public:
-  WaitingTasks(const state::Mirror& mirror, core::JobId id);
+  WaitingTasks(const state::StateCache& cache, core::JobId id);
 
   [[nodiscard]] bool any() const { return any_; }
-  // In ranges that belong to the part.
-  [[nodiscard]] std::uint32_t count(core::PartId part) const;
+  // In ranges that belong to the partition.
+  [[nodiscard]] std::uint32_t count(core::PartitionId partition) const;
   // The first of them, at most so many.
-  [[nodiscard]] std::vector<std::uint32_t> first(core::PartId part, std::size_t most) const;
+  [[nodiscard]] std::vector<std::uint32_t> first(core::PartitionId partition, std::size_t most) const;
 
  private:
   const jobs::JobRecord* job_;
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -23,8 +23,8 @@
 
 double real(const json::object& o, const char* key) { return o.at(key).to_number<double>(); }
 // Kept out of the coroutines: GCC 12 can't hold initializer lists in a coroutine's frame.
-std::string hire_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                      int count) {
+std::string scale_out_body(const std::string& request, const std::string& type, const std::string& zone,
+                           bool spot, int count) {
   return json::serialize(
       json::object{{"hire", request}, {"rack", type}, {"hall", zone}, {"loaners", spot}, {"howMany", count}});
 }
@@ -40,22 +40,22 @@
 Cloud::Cloud(http::Network& network, const config::Settings& s)
     : client_(network.connect(s.cloud, 2)),
       rate_(s.cloud_rps / s.nodes),
-      budget_(rate_, std::max(2.0, 2 * rate_), core::Steady::now()) {}
+      rate_limiter_(rate_, std::max(2.0, 2 * rate_), core::Steady::now()) {}
 
 asio::awaitable<http::Answer> Cloud::call(http::Verb verb, std::string target, std::string body) {
-  if (!budget_.take(1, 0, core::Steady::now())) co_return http::Answer{429, {}};
+  if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::Answer{429, {}};
   co_return co_await client_->call(verb, std::move(target), std::move(body), 5000ms);
 }
 
-asio::awaitable<std::optional<std::vector<Flavor>>> Cloud::flavors() {
+asio::awaitable<std::optional<std::vector<MachineType>>> Cloud::machine_types() {
   http::Answer answer = co_await call(http::Verb::get, "/flavors", {});
   auto v = parse(answer);
   if (!v) co_return std::nullopt;
   try {
-    std::vector<Flavor> out;
+    std::vector<MachineType> out;
     for (const auto& item : v->at("racks").as_array()) {
       const auto& o = item.as_object();
-      Flavor f;
+      MachineType f;
       f.name = text(o, "name");
       f.size = {real(o, "vcpus"), real(o, "gpus"), real(o, "ramGb")};
       f.cache_gb = real(o, "cacheGb");
@@ -74,13 +74,13 @@
   }
 }
 
-asio::awaitable<std::optional<std::vector<Listed>>> Cloud::machines() {
-  std::vector<Listed> out;
+asio::awaitable<std::optional<std::vector<ListedMachine>>> Cloud::machines() {
+  std::vector<ListedMachine> out;
   std::string after;
   for (int page = 0; page < 200; ++page) {
     pages_ = std::max(pages_, page + 1);
     // A long list outlasts a burst of the budget: its next page waits for its turn rather than failing.
-    while (!budget_.take(1, 0, core::Steady::now())) {
+    while (!rate_limiter_.take(1, 0, core::Steady::now())) {
       core::Timer timer(co_await asio::this_coro::executor, core::secs(0.5 / rate_));
       boost::system::error_code ec;
       co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
@@ -94,7 +94,7 @@
     try {
       for (const auto& item : v->at("perches").as_array()) {
         const auto& o = item.as_object();
-        Listed m;
+        ListedMachine m;
         m.name = text(o, "nameId");
         if (const auto* ep = o.if_contains("endpoint"); ep && ep->is_string())
           m.endpoint = text(o, "endpoint");
@@ -116,22 +116,22 @@
   co_return out;
 }
 
-asio::awaitable<Hired> Cloud::hire(std::string request, std::string type, std::string zone, bool spot,
-                                   int count) {
+asio::awaitable<ScaleOutResult> Cloud::scale_out(std::string request, std::string type, std::string zone,
+                                                 bool spot, int count) {
   http::Answer answer =
-      co_await call(http::Verb::post, "/hosts", hire_body(request, type, zone, spot, count));
-  Hired out;
+      co_await call(http::Verb::post, "/hosts", scale_out_body(request, type, zone, spot, count));
+  ScaleOutResult out;
   if (answer.status == 503 && answer.body.find("no capacity") != std::string::npos) {
-    out.kind = Hired::Kind::no_capacity;
+    out.kind = ScaleOutResult::Kind::no_capacity;
     co_return out;
   }
   auto v = parse(answer);
   if (!v) co_return out;
   try {
     for (const auto& n : v->at("perches").as_array()) out.machines.emplace_back(n.as_string());
-    out.kind = Hired::Kind::ok;
+    out.kind = ScaleOutResult::Kind::ok;
   } catch (const std::exception&) {
-    out = Hired{};
+    out = ScaleOutResult{};
   }
   co_return out;
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -55,10 +55,10 @@
 StateLimits state_limits_in(View table, const std::string& where, const StateLimits& present) {
   StateLimits limits;
   limits.requests_per_s = number(table, "rps", where, present.requests_per_s, 1, 1e6);
-  limits.changes_per_s = number(table, "write_rps", where, present.changes_per_s, 1, 1e6);
+  limits.writes_per_s = number(table, "write_rps", where, present.writes_per_s, 1, 1e6);
   limits.value_kb = number(table, "value_kb", where, present.value_kb, 1, 1e6);
-  limits.transaction_changes =
-      static_cast<int>(number(table, "txn_ops", where, present.transaction_changes, 4, 1e6));
+  limits.transaction_writes =
+      static_cast<int>(number(table, "txn_ops", where, present.transaction_writes, 4, 1e6));
   return limits;
 }
 
@@ -71,9 +71,9 @@
   const auto next = state_limits_in(announced, where + "next.", present);
   StateLimits smaller;
   smaller.requests_per_s = std::min(present.requests_per_s, next.requests_per_s);
-  smaller.changes_per_s = std::min(present.changes_per_s, next.changes_per_s);
+  smaller.writes_per_s = std::min(present.writes_per_s, next.writes_per_s);
   smaller.value_kb = std::min(present.value_kb, next.value_kb);
-  smaller.transaction_changes = std::min(present.transaction_changes, next.transaction_changes);
+  smaller.transaction_writes = std::min(present.transaction_writes, next.transaction_writes);
   return smaller;
 }
 
@@ -117,9 +117,9 @@
                            need_endpoint(m, "endpoint", "members.")});
     }
   }
-  View ends = root["endpoints"];
-  s.cloud = need_endpoint(ends, "cloud", "endpoints.");
-  s.state = need_endpoint(ends, "state", "endpoints.");
+  View tombstones = root["endpoints"];
+  s.cloud = need_endpoint(tombstones, "cloud", "endpoints.");
+  s.state = need_endpoint(tombstones, "state", "endpoints.");
   View d = root["deployment"];
   s.nodes =
       static_cast<int>(number(d, "nodes", "deployment.", static_cast<double>(s.members.size() + 1), 1, 99));
@@ -153,7 +153,7 @@
       View o(&node);
       Objective obj;
       obj.kind = need_string(o, "kind", "deployment.objectives.");
-      obj.lane = o["class"].value_or(std::string());
+      obj.job_class = o["class"].value_or(std::string());
       obj.within_s = number(o, "within_s", "deployment.objectives.", 0, 0, 1e9);
       obj.share = number(o, "share", "deployment.objectives.", 0, 0, 1e9);
       s.objectives.push_back(obj);
@@ -165,7 +165,7 @@
   s.gang_wait_s = number(w, "gang_wait_s", "deployment.workers.", s.gang_wait_s, 0, 86400);
   s.gang_peer_s = number(w, "gang_peer_s", "deployment.workers.", s.gang_peer_s, 0, 86400);
   s.cancel_s = number(w, "cancel_s", "deployment.workers.", s.cancel_s, 0.1, 86400);
-  // Nearer, no owner could answer a worker without risking that a cancelled task outlives cancel_s.
+  // Nearer, no leader could answer an agent without risking that a cancelled task outlives cancel_s.
   if (s.renewal_window_s() < 1)
     throw SettingsError("deployment.workers.cancel_s", fmt::format("{}", s.cancel_s),
                         fmt::format("too near lease_s = {}", s.lease_s));
@@ -196,7 +196,7 @@
   const double sum = t.image_factor + t.size_factor + t.usage_factor;
   need(std::abs(sum - 1) < 1e-6, "rank.image_factor+size_factor+usage_factor", sum, "must sum to 1");
   need(t.round_s >= 0.1 && t.round_s <= 60, "round_s", t.round_s, "must be 0.1 to 60");
-  need(t.parts_per_zone >= 0 && t.parts_per_zone <= 64, "parts.per_zone", t.parts_per_zone,
+  need(t.partitions_per_zone >= 0 && t.partitions_per_zone <= 64, "parts.per_zone", t.partitions_per_zone,
        "must be 0 to 64");
   need(t.member_ttl_s >= 0.5 && t.member_ttl_s <= 600, "member.ttl_s", t.member_ttl_s, "must be 0.5 to 600");
   need(t.flush_s >= 0.02 && t.flush_s <= 2, "state.flush_s", t.flush_s, "must be 0.02 to 2");
@@ -204,8 +204,9 @@
   need(t.sync_least_s >= 0.01 && t.sync_least_s <= t.sync_s, "state.sync_least_s", t.sync_least_s,
        "must be 0.01 to state.sync_s");
   need(t.idle_return_s >= 1, "hire.idle_return_s", t.idle_return_s, "must be at least 1");
-  need(t.gather_patience_s >= 0, "gather.patience_s", t.gather_patience_s, "must not be negative");
-  need(t.hire_batch >= 1 && t.hire_batch <= 50, "hire.batch", t.hire_batch, "must be 1 to 50");
+  need(t.gang_reservation_delay_s >= 0, "gather.patience_s", t.gang_reservation_delay_s,
+       "must not be negative");
+  need(t.scale_out_batch >= 1 && t.scale_out_batch <= 50, "hire.batch", t.scale_out_batch, "must be 1 to 50");
 }
 
 Tuning load_properties(const std::string& path) {
@@ -237,14 +238,14 @@
   real("rank.size_factor", t.size_factor);
   real("rank.usage_factor", t.usage_factor);
   real("round_s", t.round_s);
-  whole("parts.per_zone", t.parts_per_zone);
+  whole("parts.per_zone", t.partitions_per_zone);
   real("member.ttl_s", t.member_ttl_s);
   real("state.flush_s", t.flush_s);
   real("state.sync_s", t.sync_s);
   real("state.sync_least_s", t.sync_least_s);
   real("hire.idle_return_s", t.idle_return_s);
-  whole("hire.batch", t.hire_batch);
-  real("gather.patience_s", t.gather_patience_s);
+  whole("hire.batch", t.scale_out_batch);
+  real("gather.patience_s", t.gang_reservation_delay_s);
   check(t);
   return t;
 }
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -39,24 +39,25 @@
 
 struct Objective {
   std::string kind;
-  std::string lane;
+  std::string job_class;
   double within_s = 0;
   double share = 0;
 };
 
-// What the state service takes. All of it is computed here once; nothing else reads the settings' own fields.
+// What the key-value store takes. All of it is computed here once; nothing else reads the settings' own
+// fields.
 struct StateLimits {
   double requests_per_s = 100;
-  double changes_per_s = 20;  // puts and deletes
-  double value_kb = 8;        // of one value
-  int transaction_changes = 16;
+  double writes_per_s = 20;  // puts and deletes
+  double value_kb = 8;       // of one value
+  int transaction_writes = 16;
 
   // What one value may hold, with a reserve for what its size was not computed from.
   [[nodiscard]] std::size_t value_bytes() const { return static_cast<std::size_t>(value_kb * 1024 * 0.95); }
-  [[nodiscard]] std::size_t most_changes() const { return static_cast<std::size_t>(transaction_changes); }
-  [[nodiscard]] std::size_t most_conditions() const { return 4 * most_changes(); }
+  [[nodiscard]] std::size_t max_writes() const { return static_cast<std::size_t>(transaction_writes); }
+  [[nodiscard]] std::size_t max_compares() const { return 4 * max_writes(); }
   // Most values of full size that one transaction may hold: its body is limited too.
-  [[nodiscard]] std::size_t most_full_values() const {
+  [[nodiscard]] std::size_t max_full_values() const {
     constexpr double kBodyKb =
         40;  // of the 64 that the protocol allows, besides conditions and one more value
     return std::max<std::size_t>(1, static_cast<std::size_t>(kBodyKb / value_kb));
@@ -83,9 +84,9 @@
   double core_share = 1, ram_mb = 0;
   int max_sockets = 1000;
 
-  // How old an owner's news may be while it still answers workers. A job may have been cancelled elsewhere
-  // the moment after; a worker that is answered last keeps its tasks for another lease, counted from its
-  // report. 1% of a lease is for drift, the rest for what is not foreseen.
+  // How old an leader's news may be while it still answers agents. A job may have been cancelled elsewhere
+  // the moment after; an agent that is answered last keeps its tasks for another lease, counted from its
+  // heartbeat. 1% of a lease is for drift, the rest for what is not foreseen.
   [[nodiscard]] double renewal_window_s() const { return cancel_s - lease_s * 1.01 - 3.0; }
 };
 
@@ -99,15 +100,15 @@
   double image_factor = 0.3;  // (paper) the three factors sum to 1
   double size_factor = 0.1;
   double usage_factor = 0.6;
-  double round_s = 2;          // (paper) placing round
-  int parts_per_zone = 0;      // 0: controllers over zones, at least 1
-  double member_ttl_s = 3;     // hold on a controller's membership
-  double flush_s = 0.25;       // batching of records into writes
-  double sync_s = 0.25;        // longest wait between reads of the store's changes
-  double sync_least_s = 0.12;  // shortest, while users wait for one
-  double idle_return_s = 600;  // a hired machine idle for this long is returned
-  int hire_batch = 4;          // most machines asked for in one rental request, while half the need is less
-  double gather_patience_s = 10;  // a gang that has waited for longer has room kept for it
+  double round_s = 2;           // (paper) placing round
+  int partitions_per_zone = 0;  // 0: controllers over zones, at least 1
+  double member_ttl_s = 3;      // hold on a controller's membership
+  double flush_s = 0.25;        // batching of records into writes
+  double sync_s = 0.25;         // longest wait between reads of the store's changes
+  double sync_least_s = 0.12;   // shortest, while users wait for one
+  double idle_return_s = 600;   // a hired machine idle for this long is returned
+  int scale_out_batch = 4;      // most machines asked for in one rental request, while half the need is less
+  double gang_reservation_delay_s = 10;  // a gang that has waited for longer has room kept for it
 };
 
 Tuning load_properties(const std::string& path);
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -1,5 +1,5 @@
 // Deadlines of many sockets on one timer. A timer for each operation costs several system calls a request,
-// and those, not our own code, were most of what a report cost.
+// and those, not our own code, were most of what a heartbeat cost.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
--- a/src/core/ids.hpp
+++ b/src/core/ids.hpp
@@ -17,19 +17,19 @@
 template <class Tag>
 struct Id {
   static constexpr std::uint32_t kNone = std::numeric_limits<std::uint32_t>::max();
-  std::uint32_t v = kNone;
+  std::uint32_t index = kNone;
   auto operator<=>(const Id&) const = default;
-  [[nodiscard]] bool valid() const { return v != kNone; }
+  [[nodiscard]] bool valid() const { return index != kNone; }
 };
 
 using JobId = Id<struct JobTag>;
 using MachineId = Id<struct MachineTag>;
 using TeamId = Id<struct TeamTag>;
 using ZoneId = Id<struct ZoneTag>;
-using TypeId = Id<struct TypeTag>;
+using MachineTypeId = Id<struct MachineTypeTag>;
 using ImageId = Id<struct ImageTag>;
-using LaneId = Id<struct LaneTag>;
-using PartId = Id<struct PartTag>;
+using JobClassId = Id<struct JobClassTag>;
+using PartitionId = Id<struct PartitionTag>;
 using ShardId = Id<struct ShardTag>;
 
 // Maps names to dense indices, in the order in which they were first seen.
@@ -48,7 +48,7 @@
     if (it == index_.end()) return std::nullopt;
     return it->second;
   }
-  [[nodiscard]] const std::string& name(IdT id) const { return names_.at(id.v); }
+  [[nodiscard]] const std::string& name(IdT id) const { return names_.at(id.index); }
   [[nodiscard]] std::size_t size() const { return names_.size(); }
 
  private:
@@ -61,6 +61,6 @@
 template <class Tag>
 struct std::hash<finchrun::core::Id<Tag>> {
   std::size_t operator()(finchrun::core::Id<Tag> id) const noexcept {
-    return std::hash<std::uint32_t>{}(id.v);
+    return std::hash<std::uint32_t>{}(id.index);
   }
 };
--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -56,7 +56,7 @@
     return o;
   }
   o["st"] = "live";
-  o["lane"] = names.lanes.name(s.lane);
+  o["lane"] = names.job_classes.name(s.job_class);
   o["team"] = names.teams.name(s.team);
   o["gang"] = s.gang();
   o["pri"] = name_of(s.priority);
@@ -73,14 +73,14 @@
   o["onez"] = s.one_zone;
   o["sprd"] = s.spread;
   o["spot"] = s.spot;
-  o["exp"] = s.standing() ? kStandingMark : s.expect_s;
+  o["exp"] = s.standing() ? kStandingMark : s.expected_run_s;
   o["ckpt"] = s.checkpoint_s;
   o["save"] = s.save_s;
-  if (s.due_s) o["due"] = *s.due_s;
+  if (s.deadline_s) o["due"] = *s.deadline_s;
   o["at"] = s.submitted_s;
   json::array ranges;
   for (const auto& range : r.ranges)
-    ranges.push_back(json::array{range.from, range.to, names.parts.name(range.part)});
+    ranges.push_back(json::array{range.from, range.to, names.partitions.name(range.partition)});
   o["r"] = std::move(ranges);
   return o;
 }
@@ -98,7 +98,7 @@
     r.status = status == "done" ? Status::done : Status::cancelled;
     return r;
   }
-  s.lane = names.lanes.intern(o.at("lane").as_string());
+  s.job_class = names.job_classes.intern(o.at("lane").as_string());
   s.shape = o.at("gang").as_bool() ? Shape::gang : Shape::array;
   s.priority = priority_from(o.at("pri").as_string()).value();
   s.image = names.images.intern(o.at("img").as_string());
@@ -111,53 +111,54 @@
   s.one_zone = o.at("onez").as_bool();
   s.spread = o.at("sprd").as_bool();
   s.spot = o.at("spot").as_bool();
-  s.expect_s = o.at("exp").to_number<double>();
-  if (s.expect_s < 0) {
+  s.expected_run_s = o.at("exp").to_number<double>();
+  if (s.expected_run_s < 0) {
     s.shape = Shape::standing;
-    s.expect_s = kNoEnd;
+    s.expected_run_s = kNoEnd;
   }
   s.checkpoint_s = o.at("ckpt").to_number<double>();
   s.save_s = o.at("save").to_number<double>();
-  if (const auto* due = o.if_contains("due")) s.due_s = due->to_number<double>();
+  if (const auto* due = o.if_contains("due")) s.deadline_s = due->to_number<double>();
   s.submitted_s = o.at("at").to_number<double>();
   for (const auto& item : o.at("r").as_array()) {
     const auto& a = item.as_array();
-    auto part = names.parts.find(a.at(2).as_string());
-    if (!part) throw std::runtime_error("range of an unknown part");
+    auto partition = names.partitions.find(a.at(2).as_string());
+    if (!partition) throw std::runtime_error("range of an unknown part");
     r.ranges.push_back(
-        {static_cast<std::uint32_t>(whole(a.at(0))), static_cast<std::uint32_t>(whole(a.at(1))), *part});
+        {static_cast<std::uint32_t>(whole(a.at(0))), static_cast<std::uint32_t>(whole(a.at(1))), *partition});
   }
   return r;
 }
 
 // Entries are grouped by attempt and machine: those of a large array then fit the service's limit on values.
-json::value to_json(const RunRecord& r, const Names& names) {
+json::value to_json(const JobAssignments& r, const Names& names) {
   std::map<std::uint64_t, std::map<std::pair<core::MachineId, std::uint64_t>, json::array>> groups;
-  for (const auto& e : r.entries) groups[e.attempt][{e.machine, e.session}].push_back(e.task);
-  json::array entries;
+  for (const auto& e : r.assignments) groups[e.attempt][{e.machine, e.agent_incarnation}].push_back(e.task);
+  json::array assignments;
   for (auto& [attempt, machines] : groups) {
     json::array list;
     for (auto& [at, tasks] : machines)
       list.push_back(json::array{names.machines.name(at.first), at.second, std::move(tasks)});
-    entries.push_back(json::array{attempt, std::move(list)});
+    assignments.push_back(json::array{attempt, std::move(list)});
   }
   json::array done;
   for (const auto& [a, b] : r.done.spans()) done.push_back(json::array{a, b});
-  return json::object{{"p", std::move(entries)}, {"d", std::move(done)}};
+  return json::object{{"p", std::move(assignments)}, {"d", std::move(done)}};
 }
 
-RunRecord run_from_json(const json::value& v, Names& names) {
+JobAssignments assignments_from_json(const json::value& v, Names& names) {
   const auto& o = v.as_object();
-  RunRecord r;
+  JobAssignments r;
   for (const auto& item : o.at("p").as_array()) {
     const auto& a = item.as_array();
     const auto attempt = whole(a.at(0));
     for (const auto& group : a.at(1).as_array()) {
       const auto& g = group.as_array();
       const auto machine = names.machines.intern(g.at(0).as_string());
-      const auto session = whole(g.at(1));
+      const auto agent_incarnation = whole(g.at(1));
       for (const auto& task : g.at(2).as_array())
-        r.entries.push_back({static_cast<std::uint32_t>(whole(task)), attempt, machine, session});
+        r.assignments.push_back(
+            {static_cast<std::uint32_t>(whole(task)), attempt, machine, agent_incarnation});
     }
   }
   for (const auto& item : o.at("d").as_array()) {
@@ -167,15 +168,15 @@
   return r;
 }
 
-std::size_t bytes_at_most(const RunRecord& r, const Names& names) {
+std::size_t bytes_at_most(const JobAssignments& r, const Names& names) {
   // Of the record's text: [12345,12346], for what is done; ["name",1234,[12345]], for a machine's first task,
   // which leaves less than that behind when it ends; for each task more what it becomes then; [123456789,[]],
   // for an attempt.
   constexpr std::size_t kFrame = 48, kSpan = 14, kMachine = 20, kTaskMore = kSpan, kAttempt = 15;
   std::size_t bytes = kFrame + kSpan * r.done.spans().size();
   std::vector<std::pair<std::uint64_t, core::MachineId>> groups;
-  groups.reserve(r.entries.size());
-  for (const auto& e : r.entries) groups.emplace_back(e.attempt, e.machine);
+  groups.reserve(r.assignments.size());
+  for (const auto& e : r.assignments) groups.emplace_back(e.attempt, e.machine);
   std::sort(groups.begin(), groups.end());
   for (std::size_t i = 0; i < groups.size(); ++i) {
     if (i == 0 || groups[i].first != groups[i - 1].first) bytes += kAttempt;
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -1,4 +1,4 @@
-// A job, what is durable about it, and the form in which the state service keeps that.
+// A job, what is durable about it, and the form in which the key-value store keeps that.
 #pragma once
 
 #include <boost/json.hpp>
@@ -20,12 +20,12 @@
 struct Names {
   core::Interner<core::TeamId> teams;
   core::Interner<core::ZoneId> zones;
-  core::Interner<core::TypeId> types;
+  core::Interner<core::MachineTypeId> types;
   core::Interner<core::ImageId> images;
-  core::Interner<core::LaneId> lanes;
+  core::Interner<core::JobClassId> job_classes;
   core::Interner<core::JobId> jobs;
   core::Interner<core::MachineId> machines;
-  core::Interner<core::PartId> parts;
+  core::Interner<core::PartitionId> partitions;
 };
 
 enum class Priority { idle = 0, normal = 1, high = 2, prod = 3 };
@@ -40,7 +40,7 @@
 inline constexpr double kNoEnd = std::numeric_limits<double>::infinity();
 
 struct JobSpec {
-  core::LaneId lane;
+  core::JobClassId job_class;
   core::TeamId team;
   Shape shape = Shape::array;
   Priority priority = Priority::normal;
@@ -48,22 +48,22 @@
   core::Resources need;
   core::ImageId image;
   double image_gb = 0;
-  std::optional<std::vector<core::TypeId>> types;  // nothing: any
+  std::optional<std::vector<core::MachineTypeId>> types;  // nothing: any
   std::optional<core::ZoneId> zone;
   bool one_zone = false;
   bool spread = false;
   bool spot = false;
-  double expect_s = 0;  // the owner's estimate of a task's run time; `kNoEnd` for a standing job
+  double expected_run_s = 0;  // the leader's estimate of a task's run time; `kNoEnd` for a standing job
   double checkpoint_s = 0;
   double save_s = 0;
-  std::optional<double> due_s;
+  std::optional<double> deadline_s;
   double submitted_s = 0;  // time of day
 
   [[nodiscard]] bool gang() const { return shape == Shape::gang; }
   [[nodiscard]] bool standing() const { return shape == Shape::standing; }
   // All of its tasks have to run at the same time to be of full use.
   [[nodiscard]] bool needs_all_tasks() const { return shape != Shape::array; }
-  [[nodiscard]] bool allows_type(core::TypeId t) const {
+  [[nodiscard]] bool allows_type(core::MachineTypeId t) const {
     return !types || std::find(types->begin(), types->end(), t) != types->end();
   }
   // Grace to give when the task is stopped, so that it can save: none if it can't.
@@ -74,10 +74,10 @@
 
 enum class Status { live, done, cancelled };
 
-// Tasks [from, to) belong to a part; whoever owns the part owns them.
+// Tasks [from, to) belong to a partition; whoever owns the partition owns them.
 struct Range {
   std::uint32_t from = 0, to = 0;
-  core::PartId part;
+  core::PartitionId partition;
   bool operator==(const Range&) const = default;
 };
 
@@ -86,37 +86,38 @@
   Status status = Status::live;
   JobSpec spec;               // once the job is over: only what display needs
   std::vector<Range> ranges;  // sorted; empty once the job is over
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
 };
 
-// A task that may be on a machine: recorded before its start order leaves, removed only once it is certainly
-// gone.
-struct Entry {
+// A task that may be on a machine: recorded before its start command leaves, removed only once it is
+// certainly gone.
+struct TaskAssignment {
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   core::MachineId machine;
-  std::uint64_t session = 0;
-  bool operator==(const Entry&) const = default;
+  std::uint64_t agent_incarnation = 0;
+  bool operator==(const TaskAssignment&) const = default;
 };
 
-// What one shard of a part's records, `runs/<part>/<shard>`, holds of a job; written by the part's owner.
-struct RunRecord {
-  std::vector<Entry> entries;
+// What one shard of a partition's records, `runs/<part>/<shard>`, holds of a job; written by the partition's
+// owner.
+struct JobAssignments {
+  std::vector<TaskAssignment> assignments;
   Intervals done;
 
-  [[nodiscard]] bool empty() const { return entries.empty() && done.spans().empty(); }
-  bool operator==(const RunRecord&) const = default;
+  [[nodiscard]] bool empty() const { return assignments.empty() && done.spans().empty(); }
+  bool operator==(const JobAssignments&) const = default;
 };
 
 json::value to_json(const JobRecord& r, const Names& names);
-json::value to_json(const RunRecord& r, const Names& names);
+json::value to_json(const JobAssignments& r, const Names& names);
 // Bytes that the record takes in its shard at most, however its tasks end.
-std::size_t bytes_at_most(const RunRecord& r, const Names& names);
-// The same for one entry more, on a machine that the record does not name yet.
-inline constexpr std::size_t kEntryBytes = 48;
+std::size_t bytes_at_most(const JobAssignments& r, const Names& names);
+// The same for one assignment more, on a machine that the record does not name yet.
+inline constexpr std::size_t kAssignmentBytes = 48;
 // These throw on records that make no sense: they are ours, so that is a bug or a newer version.
 JobRecord job_from_json(const json::value& v, Names& names);
-RunRecord run_from_json(const json::value& v, Names& names);
+JobAssignments assignments_from_json(const json::value& v, Names& names);
 
 const char* name_of(Priority p);
 const char* name_of(Shape s);
--- a/src/ledger/usage.hpp
+++ b/src/ledger/usage.hpp
@@ -17,7 +17,7 @@
   // Adds core-seconds to the window that the time of day falls into.
   void add(core::TeamId team, double core_seconds, double now_s) {
     roll(now_s);
-    windows_.front().at(team.v) += core_seconds;
+    windows_.front().at(team.index) += core_seconds;
   }
   void roll(double now_s) {
     const auto index = static_cast<std::int64_t>(now_s / window_s_);
@@ -47,7 +47,7 @@
   }
   [[nodiscard]] const std::deque<std::vector<double>>& windows() const { return windows_; }
   [[nodiscard]] std::int64_t index() const { return index_; }
-  // Takes over what an earlier owner recorded, newest first, for the window numbered `index`.
+  // Takes over what an earlier leader recorded, newest first, for the window numbered `index`.
   void restore(std::int64_t index, std::deque<std::vector<double>> windows) {
     windows_ = std::move(windows);
     for (auto& w : windows_) w.resize(teams_, 0.0);
--- a/src/membership/parts.hpp
+++ b/src/membership/partition_map.hpp
@@ -1,5 +1,6 @@
-// Parts: machines are hashed by name into K parts within their zone. Who owns a part is a record in the state
-// service; its stamp is the part's term, the token that the part's workers obey.
+// Parts: machines are hashed by name into K partitions within their zone. Who owns a partition is a record in
+// the state service; its revision is the partition's term, the fencing token that the partition's agents
+// obey.
 #pragma once
 
 #include <algorithm>
@@ -20,24 +21,24 @@
   return h ^ (h >> 29);
 }
 
-// One part a zone unless there are several controllers for each zone: a gang then stays within a part.
-inline int parts_per_zone(const config::Settings& s, const config::Tuning& t) {
-  return t.parts_per_zone > 0 ? t.parts_per_zone
-                              : std::max(1, s.nodes / (2 * static_cast<int>(s.zones.size())));
+// One part a zone unless there are several controllers for each zone: a gang then stays within a partition.
+inline int partitions_per_zone(const config::Settings& s, const config::Tuning& t) {
+  return t.partitions_per_zone > 0 ? t.partitions_per_zone
+                                   : std::max(1, s.nodes / (2 * static_cast<int>(s.zones.size())));
 }
 
-class PartMap {
+class PartitionMap {
  public:
-  PartMap(const config::Settings& s, const config::Tuning& t, jobs::Names& names)
-      : per_zone_(parts_per_zone(s, t)) {
+  PartitionMap(const config::Settings& s, const config::Tuning& t, jobs::Names& names)
+      : per_zone_(partitions_per_zone(s, t)) {
     auto zones = s.zones;
     std::sort(zones.begin(), zones.end());
     for (const auto& z : zones) {
       const auto zone = names.zones.intern(z);
       for (int k = 0; k < per_zone_; ++k) {
-        const auto part = names.parts.intern(z + "." + std::to_string(k));
-        zone_of_.resize(part.v + 1);
-        zone_of_[part.v] = zone;
+        const auto partition = names.partitions.intern(z + "." + std::to_string(k));
+        zone_of_.resize(partition.index + 1);
+        zone_of_[partition.index] = zone;
       }
     }
     labels_.push_back({s.label, s.zone});
@@ -49,19 +50,20 @@
   }
 
   [[nodiscard]] std::size_t size() const { return zone_of_.size(); }
-  [[nodiscard]] core::ZoneId zone(core::PartId p) const { return zone_of_.at(p.v); }
+  [[nodiscard]] core::ZoneId zone(core::PartitionId p) const { return zone_of_.at(p.index); }
   // Nothing for a machine outside the deployment's zones.
-  [[nodiscard]] std::optional<core::PartId> part_of(std::string_view machine, core::ZoneId zone) const {
+  [[nodiscard]] std::optional<core::PartitionId> partition_of(std::string_view machine,
+                                                              core::ZoneId zone) const {
     for (std::size_t p = 0; p < zone_of_.size(); ++p) {
       if (zone_of_[p] == zone)
-        return core::PartId{
+        return core::PartitionId{
             static_cast<std::uint32_t>(p + stable_hash(machine) % static_cast<std::size_t>(per_zone_))};
     }
     return std::nullopt;
   }
-  // Labels in the order in which they should own the part: those in its zone first.
-  [[nodiscard]] const std::vector<std::string>& preference(core::PartId p) const {
-    return preference_.at(p.v);
+  // Labels in the order in which they should own the partition: those in its zone first.
+  [[nodiscard]] const std::vector<std::string>& preference(core::PartitionId p) const {
+    return preference_.at(p.index);
   }
 
  private:
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -17,45 +17,45 @@
 inline constexpr std::uint32_t kVersion = 2;
 inline constexpr std::size_t kMaxFrame = 4 * 1024 * 1024;
 
-// Asks how the other gets on with the state service, and for the cancellations that it knows.
+// Asks how the other gets on with the key-value store, and for the cancellations that it knows.
 struct Ping {
   std::string label;
-  std::uint64_t epoch = 0;  // everything until then the sender has read
+  std::uint64_t revision = 0;  // everything until then the sender has read
   template <class A>
   void serialize(A& a) {
-    a(label, epoch);
+    a(label, revision);
   }
 };
-// A job that is recorded as cancelled: its record, and the epoch of the change.
-struct Cancelled {
+// A job that is recorded as cancelled: its record, and the revision of the change.
+struct CancellationNotice {
   std::string job, record;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   template <class A>
   void serialize(A& a) {
-    a(job, record, stamp);
+    a(job, record, revision);
   }
 };
 struct Pong {
-  double news_age_s = 0;  // since its newest answered read of the store's changes was sent
+  double state_age_s = 0;  // since its newest answered read of the store's changes was sent
   // With what the other has read, `cancelled` names every job that this process, or an earlier one of its
   // label, has told any user to be cancelled.
   bool complete = false;
-  std::vector<Cancelled> cancelled;
+  std::vector<CancellationNotice> cancelled;
   template <class A>
   void serialize(A& a) {
-    a(news_age_s, complete, cancelled);
+    a(state_age_s, complete, cancelled);
   }
 };
-// A worker's report that reached a controller which doesn't own its part.
-struct Relay {
-  std::string report;
+// A agent's report that reached a controller which doesn't own its partition.
+struct HeartbeatRelay {
+  std::string heartbeat;
   template <class A>
   void serialize(A& a) {
-    a(report);
+    a(heartbeat);
   }
 };
-// A request to the state service by a controller that it refuses.
-struct StateCall {
+// A request to the key-value store by a controller that it refuses.
+struct StoreRequest {
   bool post = false;
   std::string target, body;
   template <class A>
@@ -71,7 +71,7 @@
     a(status, body);
   }
 };
-using Message = std::variant<Ping, Pong, Relay, StateCall, Reply, Cancelled>;
+using Message = std::variant<Ping, Pong, HeartbeatRelay, StoreRequest, Reply, CancellationNotice>;
 
 inline std::string encode(const Message& m) {
   std::ostringstream out;
--- a/src/sched/place.cpp
+++ b/src/sched/place.cpp
@@ -15,7 +15,7 @@
 constexpr int kOrdinary = 1;
 
 // What goes before the weight: see "changed or added" in docs/design.md.
-int claim(const Demand& d) { return d.patient ? 0 : std::max(d.priority, kOrdinary); }
+int leadership(const Demand& d) { return d.deferrable ? 0 : std::max(d.priority, kOrdinary); }
 
 double dominant_share(const core::Resources& need, const core::Resources& size) {
   double share = 0;
@@ -25,11 +25,12 @@
   return share;
 }
 
-bool hosts(const Node& n, const LaneProfile& lane) {
-  if (n.spot && !lane.spot) return false;
-  if (lane.types && std::find(lane.types->begin(), lane.types->end(), n.type) == lane.types->end())
+bool hosts(const Node& n, const JobClassProfile& job_class) {
+  if (n.spot && !job_class.spot) return false;
+  if (job_class.types &&
+      std::find(job_class.types->begin(), job_class.types->end(), n.type) == job_class.types->end())
     return false;
-  return lane.need.fits(n.size);
+  return job_class.need.fits(n.size);
 }
 
 // Beside what any task costs: a replica is small and is expected within seconds, so the fetch outweighs the
@@ -53,11 +54,11 @@
   if (!holds(n, d.image)) cost += 2 + d.image_gb / std::max(n.fetch_gb_per_s, 0.01);
   // Ordinary machines are kept for those that may not use spot machines.
   if (d.spot && !n.spot) cost += 3;
-  // Machines that other lanes can't do without are left to them.
-  double wanted = 0;
-  for (std::size_t lane = 0; lane < n.wanted.size(); ++lane)
-    if (lane != d.lane.v) wanted += n.wanted[lane];
-  cost += 10 * std::min(wanted, 3.0);
+  // Machines that other job classes can't do without are left to them.
+  double scarcity = 0;
+  for (std::size_t job_class = 0; job_class < n.scarcity.size(); ++job_class)
+    if (job_class != d.job_class.index) scarcity += n.scarcity[job_class];
+  cost += 10 * std::min(scarcity, 3.0);
   // The share of the machine that it makes unusable for others, in units of accelerators.
   cost += 1.5 * dominant_share(d.need, n.size) * std::max(1.0, n.size.gpus);
   // Best fit: leave large holes whole.
@@ -116,16 +117,16 @@
 
 }  // namespace
 
-void mark_wanted(std::vector<Node>& nodes, const std::vector<LaneProfile>& lanes) {
-  for (auto& n : nodes) n.wanted.assign(lanes.size(), 0.0);
-  for (std::size_t l = 0; l < lanes.size(); ++l) {
-    if (lanes[l].tasks <= 0) continue;
+void mark_scarcity(std::vector<Node>& nodes, const std::vector<JobClassProfile>& job_classes) {
+  for (auto& n : nodes) n.scarcity.assign(job_classes.size(), 0.0);
+  for (std::size_t l = 0; l < job_classes.size(); ++l) {
+    if (job_classes[l].tasks <= 0) continue;
     double places = 0;
     for (const auto& n : nodes)
-      if (hosts(n, lanes[l])) places += lanes[l].need.times_in(n.size);
+      if (hosts(n, job_classes[l])) places += job_classes[l].need.times_in(n.size);
     if (places <= 0) continue;
     for (auto& n : nodes)
-      if (hosts(n, lanes[l])) n.wanted[l] = lanes[l].tasks / places;
+      if (hosts(n, job_classes[l])) n.scarcity[l] = job_classes[l].tasks / places;
   }
 }
 
@@ -133,7 +134,7 @@
   if (!n.reserved_for.valid() || n.reserved_for == d.job) return true;
   // Estimates are often wrong by half.
   const double fetch = holds(n, d.image) ? 0 : 2 + d.image_gb / std::max(n.fetch_gb_per_s, 0.01);
-  return !d.gang && fetch + d.expect_s * 1.5 < n.reserved_in_s;
+  return !d.gang && fetch + d.expected_run_s * 1.5 < n.reserved_in_s;
 }
 
 bool allowed(const Demand& d, const Node& n) {
@@ -143,17 +144,17 @@
 }
 
 Plan place(std::vector<Node> nodes, const std::vector<Demand>& demands, const std::vector<Costs>& costs,
-           std::vector<TeamRoom> teams) {
-  std::vector<std::size_t> order(demands.size());
-  std::iota(order.begin(), order.end(), 0);
-  std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    const int ca = claim(demands[a]), cb = claim(demands[b]);
+           std::vector<TeamQuota> teams) {
+  std::vector<std::size_t> command(demands.size());
+  std::iota(command.begin(), command.end(), 0);
+  std::stable_sort(command.begin(), command.end(), [&](std::size_t a, std::size_t b) {
+    const int ca = leadership(demands[a]), cb = leadership(demands[b]);
     return ca != cb ? ca > cb : costs[a].weight > costs[b].weight;
   });
   Plan plan;
-  for (const auto index : order) {
+  for (const auto index : command) {
     const Demand& d = demands[index];
-    TeamRoom& team = teams.at(d.team.v);
+    TeamQuota& team = teams.at(d.team.index);
     if (d.gang) {
       const auto all = d.need * static_cast<double>(d.tasks.size());
       bool complete = d.tasks.size() <= d.room_in_zone && team.allows(all);
--- a/src/sched/place.hpp
+++ b/src/sched/place.hpp
@@ -1,4 +1,4 @@
-// Greedy placement within one part: highest weight first; a gang only when all of its tasks fit.
+// Greedy placement within one partition: highest weight first; a gang only when all of its tasks fit.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 struct Node {
   core::MachineId id;
-  core::TypeId type;
+  core::MachineTypeId type;
   core::ZoneId zone;
   bool spot = false;
   core::Resources size;
@@ -22,15 +22,15 @@
   std::size_t fetching = 0;           // images that are being fetched now: they share the rate
   std::vector<core::JobId> replicas;  // standing jobs with a task here
   double fetch_gb_per_s = 1;
-  std::vector<double> wanted;  // by lane: how much the lane needs machines like this one
-  core::JobId reserved_for;    // room is kept here for this job: others only while they end in time
-  double reserved_in_s = 0;    // how long it will be until that job can start here
-  double risk = 0;             // seconds that starting here is expected to cost more than elsewhere
+  std::vector<double> scarcity;  // by job class: how much the job class needs machines like this one
+  core::JobId reserved_for;      // room is kept here for this job: others only while they end in time
+  double reserved_in_s = 0;      // how long it will be until that job can start here
+  double risk = 0;               // seconds that starting here is expected to cost more than elsewhere
 };
 
 struct Demand {
   core::JobId job;
-  std::uint64_t job_stamp = 0;  // of the record that it was made from
+  std::uint64_t job_revision = 0;  // of the record that it was made from
   core::TeamId team;
   core::ImageId image;
   double image_gb = 0;
@@ -39,29 +39,29 @@
   bool gang = false;
   bool standing = false;  // replicas without an end in sight
   bool spot = false;
-  std::optional<std::vector<core::TypeId>> types;
+  std::optional<std::vector<core::MachineTypeId>> types;
   std::optional<core::ZoneId> zone;
   std::uint32_t count = 0;           // waiting tasks in all
   std::vector<std::uint32_t> tasks;  // the first of them; for a gang all
   std::uint32_t room_in_zone = 0;    // how many more tasks this zone may take (`spread`)
   double waited_s = 0;
-  double expect_s = 0;  // the owner's estimate of a task's run time
-  core::LaneId lane;
+  double expected_run_s = 0;  // the leader's estimate of a task's run time
+  core::JobClassId job_class;
   bool within = false;           // fits its team's guarantee together with the team's earlier unfinished jobs
   bool guaranteed = false;       // and has waited for longer than room needs to come free by itself
-  bool patient = false;          // only its deadline counts, and that is still far
+  bool deferrable = false;       // only its deadline counts, and that is still far
   bool has_reservation = false;  // room is being made or kept for it already
 };
 
-// What jobs of a lane look like lately, and how many of their tasks run or wait.
-struct LaneProfile {
+// What jobs of a job class look like lately, and how many of their tasks run or wait.
+struct JobClassProfile {
   core::Resources need;
   bool spot = false;
-  std::optional<std::vector<core::TypeId>> types;
+  std::optional<std::vector<core::MachineTypeId>> types;
   double tasks = 0;
 };
 
-struct TeamRoom {
+struct TeamQuota {
   core::Resources used;
   double cpus_max = 0, gpus_max = 0;  // 0: no limit
   [[nodiscard]] bool allows(const core::Resources& more) const {
@@ -80,12 +80,12 @@
   std::vector<Placement> placements;
   std::vector<std::size_t> unplaced;  // demands with tasks left, highest weight first
   std::vector<Node> nodes;            // with what is free after placing
-  std::vector<TeamRoom> teams;
+  std::vector<TeamQuota> teams;
 };
 
-// How much each lane, by its id, would miss a machine of the node's type and kind: its tasks over the places
-// that the fleet has for them. Filled into `Node::wanted`.
-void mark_wanted(std::vector<Node>& nodes, const std::vector<LaneProfile>& lanes);
+// How much each job class, by its id, would miss a machine of the node's type and kind: its tasks over the
+// places that the fleet has for them. Filled into `Node::wanted`.
+void mark_scarcity(std::vector<Node>& nodes, const std::vector<JobClassProfile>& job_classes);
 
 // May the demand start on a machine where room is kept? Its own does; another only if it will be over in
 // time.
@@ -95,6 +95,6 @@
 bool allowed(const Demand& d, const Node& n);
 
 Plan place(std::vector<Node> nodes, const std::vector<Demand>& demands, const std::vector<Costs>& costs,
-           std::vector<TeamRoom> teams);
+           std::vector<TeamQuota> teams);
 
 }  // namespace finchrun::sched
--- a/src/sched/preempt.cpp
+++ b/src/sched/preempt.cpp
@@ -13,7 +13,7 @@
 struct Search {
   std::vector<core::Resources> free;  // by node
   std::vector<char> stopped;          // by running task
-  std::vector<TeamClaim> claims;
+  std::vector<GuaranteeUsage> guarantees;
 };
 
 // What does not change during the search: who runs where.
@@ -23,7 +23,7 @@
   std::unordered_map<core::JobId, std::vector<std::size_t>> gang;  // tasks of one gang
 };
 
-Where locate(const std::vector<Node>& nodes, const std::vector<Running>& running) {
+Where locate(const std::vector<Node>& nodes, const std::vector<RunningTask>& running) {
   Where w;
   w.on_node.resize(nodes.size());
   for (std::size_t i = 0; i < nodes.size(); ++i) w.node[nodes[i].id] = i;
@@ -40,25 +40,25 @@
 }
 
 // Work of higher priority is dearer to stop, and a gang brings down all its tasks.
-double cost_of(const Running& r) { return (r.loss_s + (r.gang ? 20 : 5)) * (1 + 3 * r.priority); }
+double cost_of(const RunningTask& r) { return (r.loss_s + (r.gang ? 20 : 5)) * (1 + 3 * r.priority); }
 
-bool may_stop(const Demand& d, const Running& r, const std::vector<TeamClaim>& claims) {
+bool may_stop(const Demand& d, const RunningTask& r, const std::vector<GuaranteeUsage>& guarantees) {
   if (r.job == d.job) return false;
   // One strict order of claims: within a guarantee, then priority. With the two side by side, idle work
   // within its guarantee and high work beyond it stopped each other in turn for as long as both waited.
   if (r.within && !d.within) return false;
   if (r.priority < d.priority) return true;
-  return d.guaranteed && !r.within && r.team != d.team && claims.at(r.team.v).beyond(r.need);
+  return d.guaranteed && !r.within && r.team != d.team && guarantees.at(r.team.index).beyond(r.need);
 }
 
 // All tasks of the victim's gang end with it.
-void stop(Search& s, const Where& where, const std::vector<Running>& running, std::size_t victim,
+void stop(Search& s, const Where& where, const std::vector<RunningTask>& running, std::size_t victim,
           std::vector<std::size_t>& out) {
   const auto end = [&](std::size_t i) {
     if (s.stopped[i]) return;
     s.stopped[i] = 1;
     out.push_back(i);
-    s.claims.at(running[i].team.v).used -= running[i].need;
+    s.guarantees.at(running[i].team.index).used -= running[i].need;
     if (const auto n = where.node.find(running[i].machine); n != where.node.end())
       s.free[n->second] += running[i].need;
   };
@@ -73,13 +73,13 @@
 
 // The tasks to stop on the node so that one task of the demand fits there; nothing if that can't be.
 std::optional<Victims> victims_on(const Search& s, const Where& where, std::size_t node, const Demand& d,
-                                  const std::vector<Running>& running) {
+                                  const std::vector<RunningTask>& running) {
   auto free = s.free[node];
   if (d.need.fits(free)) return Victims{};
   std::vector<std::size_t> open;
   auto most = free;
   for (const auto i : where.on_node[node]) {
-    if (s.stopped[i] || !may_stop(d, running[i], s.claims)) continue;
+    if (s.stopped[i] || !may_stop(d, running[i], s.guarantees)) continue;
     open.push_back(i);
     most += running[i].need;
   }
@@ -88,12 +88,12 @@
     if (running[a].priority != running[b].priority) return running[a].priority < running[b].priority;
     return running[a].loss_s < running[b].loss_s;
   });
-  auto claims = s.claims;
+  auto guarantees = s.guarantees;
   Victims out;
   for (const auto i : open) {
     if (d.need.fits(free)) break;
-    if (!may_stop(d, running[i], claims)) continue;  // its team has come down to its guarantee
-    claims.at(running[i].team.v).used -= running[i].need;
+    if (!may_stop(d, running[i], guarantees)) continue;  // its team has come down to its guarantee
+    guarantees.at(running[i].team.index).used -= running[i].need;
     free += running[i].need;
     out.loss += cost_of(running[i]);
     out.tasks.push_back(i);
@@ -121,13 +121,14 @@
 
 bool may_preempt(const Demand& d, int lowest_running) { return d.guaranteed || d.priority > lowest_running; }
 
-std::vector<Eviction> preempt(std::vector<Node> nodes, const std::vector<Demand>& demands,
-                              const std::vector<std::size_t>& unplaced, const std::vector<Running>& running,
-                              std::vector<TeamRoom> rooms, std::vector<TeamClaim> claims) {
+std::vector<Preemption> preempt(std::vector<Node> nodes, const std::vector<Demand>& demands,
+                                const std::vector<std::size_t>& unplaced,
+                                const std::vector<RunningTask>& running, std::vector<TeamQuota> rooms,
+                                std::vector<GuaranteeUsage> guarantees) {
   constexpr std::size_t kMostTasks = 16;    // of one job in one round
   constexpr std::size_t kMostDemands = 64;  // looked at in one round
   constexpr double kMostWaste = 2.5;        // stopped, for each unit of room made
-  std::vector<Eviction> out;
+  std::vector<Preemption> out;
   if (running.empty()) return out;
   const Where where = locate(nodes, running);
   int lowest = running.front().priority;
@@ -135,7 +136,7 @@
   Search state;
   for (const auto& n : nodes) state.free.push_back(n.free);
   state.stopped.assign(running.size(), 0);
-  state.claims = std::move(claims);
+  state.guarantees = std::move(guarantees);
   std::size_t looked = 0;
   // Shapes for which no room could be made: another job of the same shape need not be tried.
   std::vector<const Demand*> hopeless;
@@ -146,14 +147,14 @@
       continue;
     if (++looked > kMostDemands) break;
     Search trial = state;
-    auto room = rooms.at(d.team.v);
-    Eviction e;
+    auto room = rooms.at(d.team.index);
+    Preemption e;
     e.demand = index;
-    const std::size_t wanted = d.gang ? d.tasks.size() : std::min<std::size_t>(d.tasks.size(), kMostTasks);
+    const std::size_t scarcity = d.gang ? d.tasks.size() : std::min<std::size_t>(d.tasks.size(), kMostTasks);
     // The cheapest node first. A choice changes what others cost, so each is looked at again when its turn
     // comes and goes back into the queue if it has become dearer.
-    using Entry = std::pair<double, std::size_t>;
-    std::vector<Entry> heap;
+    using TaskAssignment = std::pair<double, std::size_t>;
+    std::vector<TaskAssignment> heap;
     const auto price = [&](std::size_t n) -> std::optional<std::pair<double, Victims>> {
       auto v = victims_on(trial, where, n, d, running);
       if (!v) return std::nullopt;
@@ -166,7 +167,7 @@
     }
     std::make_heap(heap.begin(), heap.end(), std::greater<>());
     std::size_t got = 0;
-    while (got < wanted && got < d.room_in_zone && room.allows(d.need) && !heap.empty()) {
+    while (got < scarcity && got < d.room_in_zone && room.allows(d.need) && !heap.empty()) {
       std::pop_heap(heap.begin(), heap.end(), std::greater<>());
       const auto [old, n] = heap.back();
       heap.pop_back();
@@ -187,33 +188,35 @@
         std::push_heap(heap.begin(), heap.end(), std::greater<>());
       }
     }
-    const bool blocked = got < std::min<std::size_t>(wanted, d.room_in_zone) && room.allows(d.need);
+    const bool blocked = got < std::min<std::size_t>(scarcity, d.room_in_zone) && room.allows(d.need);
     if (blocked && (d.gang || got == 0)) hopeless.push_back(&d);
-    if (got == 0 || (d.gang && got < wanted) || e.victims.empty()) continue;
+    if (got == 0 || (d.gang && got < scarcity) || e.victims.empty()) continue;
     // Bringing down a gang of many machines for the sake of one small task wastes more than it serves.
     double stopped = 0, made = 0;
     for (const auto v : e.victims) stopped += weight_of(running[v].need);
     made = weight_of(d.need) * static_cast<double>(got);
     if (stopped > kMostWaste * made) continue;
     state = std::move(trial);
-    rooms.at(d.team.v) = room;
+    rooms.at(d.team.index) = room;
     out.push_back(std::move(e));
   }
   return out;
 }
 
-std::vector<Gathering> gather(const std::vector<Node>& nodes, const std::vector<Demand>& demands,
-                              const std::vector<std::size_t>& unplaced, const std::vector<Running>& running,
-                              const std::vector<TeamRoom>& rooms, double patience_s, std::size_t most) {
+std::vector<Reservation> reserve_for_gangs(const std::vector<Node>& nodes, const std::vector<Demand>& demands,
+                                           const std::vector<std::size_t>& unplaced,
+                                           const std::vector<RunningTask>& running,
+                                           const std::vector<TeamQuota>& rooms, double patience_s,
+                                           std::size_t most) {
   std::vector<std::size_t> waiting;
   for (const auto index : unplaced) {
     const auto& d = demands[index];
     const auto all = d.need * static_cast<double>(d.tasks.size());
     if (d.gang && !d.has_reservation && d.waited_s > patience_s && d.tasks.size() <= d.room_in_zone &&
-        rooms.at(d.team.v).allows(all))
+        rooms.at(d.team.index).allows(all))
       waiting.push_back(index);
   }
-  std::vector<Gathering> out;
+  std::vector<Reservation> out;
   if (waiting.empty()) return out;
   std::stable_sort(waiting.begin(), waiting.end(),
                    [&](std::size_t a, std::size_t b) { return demands[a].waited_s > demands[b].waited_s; });
@@ -235,8 +238,8 @@
     std::vector<Slot> slots;
     for (std::size_t n = 0; n < nodes.size(); ++n) {
       if (kept[n] || !usable(d, nodes[n])) continue;
-      auto ends = where.on_node[n];
-      std::sort(ends.begin(), ends.end(),
+      auto tombstones = where.on_node[n];
+      std::sort(tombstones.begin(), tombstones.end(),
                 [&](std::size_t a, std::size_t b) { return running[a].left_s < running[b].left_s; });
       auto free = nodes[n].free;
       int had = 0;
@@ -244,7 +247,7 @@
         for (const int now = d.need.times_in(free); had < now; ++had) slots.push_back({at, n});
       };
       add(0);
-      for (const auto i : ends) {
+      for (const auto i : tombstones) {
         if (running[i].left_s == jobs::kNoEnd) break;  // this room never comes free by itself
         free += running[i].need;
         add(running[i].left_s);
@@ -252,7 +255,7 @@
     }
     if (slots.size() < d.tasks.size()) continue;
     std::stable_sort(slots.begin(), slots.end(), [](const Slot& a, const Slot& b) { return a.at < b.at; });
-    Gathering g;
+    Reservation g;
     g.demand = index;
     std::vector<std::size_t> chosen;
     for (std::size_t i = 0; i < d.tasks.size(); ++i) {
--- a/src/sched/preempt.hpp
+++ b/src/sched/preempt.hpp
@@ -8,7 +8,7 @@
 
 namespace finchrun::sched {
 
-struct Running {
+struct RunningTask {
   core::JobId job;
   core::TeamId team;
   std::uint32_t task = 0;
@@ -22,7 +22,7 @@
   double left_s = 0;    // how long it is expected to go on; `jobs::kNoEnd` for a replica
 };
 
-struct TeamClaim {
+struct GuaranteeUsage {
   core::Resources used;
   double cpus = 0, gpus = 0;  // guaranteed; 0: none
   // Would the team still have its guarantee in use without `less`?
@@ -34,7 +34,7 @@
   }
 };
 
-struct Eviction {
+struct Preemption {
   std::size_t demand = 0;
   std::vector<std::size_t> victims;       // indices into the running tasks
   std::vector<core::MachineId> machines;  // where the demand's tasks shall go
@@ -46,12 +46,13 @@
 // For the unplaced demands, in the plan's order. `nodes` as they are after placing. Stops nothing that the
 // protocol's preemption rules protect: work of equal or higher priority, unless its team is beyond its
 // guarantee and the waiting job within that of its own.
-std::vector<Eviction> preempt(std::vector<Node> nodes, const std::vector<Demand>& demands,
-                              const std::vector<std::size_t>& unplaced, const std::vector<Running>& running,
-                              std::vector<TeamRoom> rooms, std::vector<TeamClaim> claims);
+std::vector<Preemption> preempt(std::vector<Node> nodes, const std::vector<Demand>& demands,
+                                const std::vector<std::size_t>& unplaced,
+                                const std::vector<RunningTask>& running, std::vector<TeamQuota> rooms,
+                                std::vector<GuaranteeUsage> guarantees);
 
 // Room that is kept for a gang until it has come free on enough machines.
-struct Gathering {
+struct Reservation {
   std::size_t demand = 0;
   std::vector<core::MachineId> machines;
   double in_s = 0;  // when the last of them is expected to be free
@@ -60,8 +61,10 @@
 // For gangs that have waited for longer than `patience_s` and may stop nothing: without it a stream of small
 // jobs takes every place that comes free, and a large gang never starts. At most `most` of the machines are
 // kept at a time, those counted that are kept already.
-std::vector<Gathering> gather(const std::vector<Node>& nodes, const std::vector<Demand>& demands,
-                              const std::vector<std::size_t>& unplaced, const std::vector<Running>& running,
-                              const std::vector<TeamRoom>& rooms, double patience_s, std::size_t most);
+std::vector<Reservation> reserve_for_gangs(const std::vector<Node>& nodes, const std::vector<Demand>& demands,
+                                           const std::vector<std::size_t>& unplaced,
+                                           const std::vector<RunningTask>& running,
+                                           const std::vector<TeamQuota>& rooms, double patience_s,
+                                           std::size_t most);
 
 }  // namespace finchrun::sched
--- a/src/sched/rank.cpp
+++ b/src/sched/rank.cpp
@@ -6,7 +6,7 @@
 
 namespace finchrun::sched {
 
-std::vector<Costs> rank(const std::vector<Waiting>& queue, const std::vector<double>& shares,
+std::vector<Costs> rank(const std::vector<QueuedTasks>& queue, const std::vector<double>& shares,
                         const std::vector<double>& usage, const Factors& factors) {
   // A task that asks for no cores at all would cost infinitely much; and a weight needs a cost above 0.
   constexpr double kLeastCpus = 0.01;
@@ -32,9 +32,9 @@
     Costs c;
     c.image = image_max / per_image[w.image] * 100 / length;
     c.size = cpus_max / std::max(w.cpus, kLeastCpus) * 100 / size_sum;
-    c.usage = usage_sum > 0 ? usage.at(w.team.v) / usage_sum * 100 : 0;
+    c.usage = usage_sum > 0 ? usage.at(w.team.index) / usage_sum * 100 : 0;
     c.total = factors.image * c.image + factors.size * c.size + factors.usage * c.usage;
-    c.weight = shares.at(w.team.v) / std::max(c.total, kLeastCost);
+    c.weight = shares.at(w.team.index) / std::max(c.total, kLeastCost);
     out.push_back(c);
   }
   return out;
--- a/src/sched/rank.hpp
+++ b/src/sched/rank.hpp
@@ -16,7 +16,7 @@
 };
 
 // Waiting tasks of one job: alike in everything that the ranking looks at.
-struct Waiting {
+struct QueuedTasks {
   core::TeamId team;
   core::ImageId image;
   double cpus = 0;
@@ -30,7 +30,7 @@
 };
 
 // `shares` and `usage` (decayed core-seconds) by team.
-std::vector<Costs> rank(const std::vector<Waiting>& queue, const std::vector<double>& shares,
+std::vector<Costs> rank(const std::vector<QueuedTasks>& queue, const std::vector<double>& shares,
                         const std::vector<double>& usage, const Factors& factors);
 
 }  // namespace finchrun::sched
--- a/src/state/budget.hpp
+++ b/src/state/rate_limiter.hpp
@@ -1,5 +1,5 @@
-// Rate budget of one controller towards a shared service: a token bucket with a part kept back for what must
-// never wait behind anything else (lease renewals).
+// Rate budget of one controller towards a shared service: a fencing token bucket with a partition kept back
+// for what must never wait behind anything else (lease renewals).
 #pragma once
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace finchrun::state {
 
-class Budget {
+class RateLimiter {
  public:
-  Budget(double per_s, double burst, core::TimePoint now)
+  RateLimiter(double per_s, double burst, core::TimePoint now)
       : rate_(per_s), burst_(burst), level_(burst), at_(now) {}
 
   // Takes n tokens if, after it, at least `reserve` of the burst would be left.
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -69,15 +69,15 @@
   return TaskState::other;
 }
 
-Cause cause_of(std::string_view s) {
-  if (s == "done") return Cause::done;
-  if (s == "halted") return Cause::stopped;
-  if (s == "mates_gone") return Cause::peers;
-  if (s == "alone") return Cause::alone;
-  if (s == "error") return Cause::error;
-  if (s == "full") return Cause::no_room;
-  if (s == "in_use") return Cause::busy;
-  return Cause::unknown;
+ExitCause cause_of(std::string_view s) {
+  if (s == "done") return ExitCause::done;
+  if (s == "halted") return ExitCause::stopped;
+  if (s == "mates_gone") return ExitCause::peers;
+  if (s == "alone") return ExitCause::alone;
+  if (s == "error") return ExitCause::error;
+  if (s == "full") return ExitCause::no_room;
+  if (s == "in_use") return ExitCause::busy;
+  return ExitCause::unknown;
 }
 
 std::optional<jobs::Shape> shape_of(std::string_view s) {
@@ -91,7 +91,7 @@
   Submission s;
   s.id = text(o, "nameId");
   if (!valid_job_id(s.id)) throw Bad{"invalid field nameId"};
-  s.lane = text(o, "lane");
+  s.job_class = text(o, "lane");
   s.team = text(o, "crew");
   const auto shape = text(o, "shape");
   const auto known_shape = shape_of(shape);
@@ -115,16 +115,16 @@
   s.spec.one_zone = flag(o, "together");
   s.spec.spread = flag(o, "scatter");
   s.spec.spot = flag(o, "loaners");
-  s.spec.expect_s = amount(o, "expectS");
-  if (s.spec.standing()) s.spec.expect_s = jobs::kNoEnd;
+  s.spec.expected_run_s = amount(o, "expectS");
+  if (s.spec.standing()) s.spec.expected_run_s = jobs::kNoEnd;
   s.spec.checkpoint_s = amount(o, "snapshotS");
   s.spec.save_s = amount(o, "flushS");
-  if (const auto* due = maybe(o, "dueS")) s.spec.due_s = amount_of(*due, "dueS");
+  if (const auto* due = maybe(o, "dueS")) s.spec.deadline_s = amount_of(*due, "dueS");
   return s;
 }
 
-Piece read_piece(const json::object& o) {
-  Piece p;
+TaskStatus read_task_status(const json::object& o) {
+  TaskStatus p;
   const auto name = text(o, "piece");
   const auto slash = name.rfind('/');
   if (slash == std::string::npos) throw Bad{"invalid field piece"};
@@ -139,22 +139,22 @@
   return p;
 }
 
-Report read_report(const json::object& o) {
-  Report r;
+Heartbeat read_heartbeat(const json::object& o) {
+  Heartbeat r;
   r.machine = text(o, "perch");
   r.endpoint = text(o, "endpoint");
   r.type = text(o, "rack");
   r.zone = text(o, "hall");
   r.spot = flag(o, "loaners");
-  r.session = count(o, "stint");
-  r.seq = count(o, "tick");
-  r.token = count(o, "baton");
-  if (const auto* notice = maybe(o, "warningS")) r.notice_s = amount_of(*notice, "warningS");
+  r.agent_incarnation = count(o, "stint");
+  r.sequence = count(o, "tick");
+  r.fencing_token = count(o, "baton");
+  if (const auto* notice = maybe(o, "warningS")) r.termination_notice_s = amount_of(*notice, "warningS");
   const auto& pieces = need(o, "pieces");
   if (!pieces.is_array()) throw Bad{"invalid field pieces"};
   for (const auto& p : pieces.as_array()) {
     if (!p.is_object()) throw Bad{"invalid field pieces"};
-    r.pieces.push_back(read_piece(p.as_object()));
+    r.tasks.push_back(read_task_status(p.as_object()));
   }
   return r;
 }
@@ -169,15 +169,15 @@
   }
 }
 
-json::array orders_json(const std::vector<Order>& orders) {
+json::array commands_json(const std::vector<Command>& commands) {
   json::array list;
-  for (const auto& order : orders) {
+  for (const auto& command : commands) {
     json::object o;
-    const bool stop = order.kind == Order::Kind::stop;
-    o["verb"] = order.kind == Order::Kind::start ? "run" : stop ? "kill" : "reap";
-    o["piece"] = order.job + "/" + std::to_string(order.task);
-    o["try"] = order.attempt;
-    if (stop) o["leewayS"] = order.grace_s;
+    const bool stop = command.kind == Command::Kind::stop;
+    o["verb"] = command.kind == Command::Kind::start ? "run" : stop ? "kill" : "reap";
+    o["piece"] = command.job + "/" + std::to_string(command.task);
+    o["try"] = command.attempt;
+    if (stop) o["leewayS"] = command.grace_s;
     list.push_back(std::move(o));
   }
   return list;
@@ -196,21 +196,23 @@
   return guarded<Submission>(body, read_submission);
 }
 
-std::variant<Report, Malformed> parse_report(const std::string& body) {
-  return guarded<Report>(body, read_report);
+std::variant<Heartbeat, Malformed> parse_heartbeat(const std::string& body) {
+  return guarded<Heartbeat>(body, read_heartbeat);
 }
 
-std::string render_orders(std::uint64_t token, const std::vector<Order>& orders) {
-  return json::serialize(json::object{{"baton", token}, {"orders", orders_json(orders)}});
+std::string render_commands(std::uint64_t fencing_token, const std::vector<Command>& commands) {
+  return json::serialize(json::object{{"baton", fencing_token}, {"orders", commands_json(commands)}});
 }
 
-std::string render_push(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders) {
-  return json::serialize(json::object{{"baton", token}, {"stint", session}, {"orders", orders_json(orders)}});
+std::string render_direct_commands(std::uint64_t fencing_token, std::uint64_t agent_incarnation,
+                                   const std::vector<Command>& commands) {
+  return json::serialize(json::object{
+      {"baton", fencing_token}, {"stint", agent_incarnation}, {"orders", commands_json(commands)}});
 }
 
-std::string render_moved(const std::optional<std::string>& owner) {
+std::string render_redirect(const std::optional<std::string>& leader) {
   json::object o;
-  if (owner) o["foreman"] = *owner;
+  if (leader) o["foreman"] = *leader;
   return json::serialize(o);
 }
 
--- a/tests/app/cluster_test.cpp
+++ b/tests/app/cluster_test.cpp
@@ -1,5 +1,5 @@
 // Days of the whole service under a simulated clock; every rule is checked after each step.
-#include "app/days.hpp"
+#include "app/fault_scenarios.hpp"
 
 namespace finchrun::sim {
 namespace {
@@ -14,7 +14,7 @@
 
 struct Day {
   const char* name;
-  std::function<void(Cluster&)> trouble;
+  std::function<void(Cluster&)> job_failures;
 };
 class Trouble : public testing::TestWithParam<Day> {};
 TEST_P(Trouble, KeepsTheRulesAndFinishes) {
@@ -22,7 +22,7 @@
     Cluster c(seed);
     load(c, 12, 30);
     c.troubles_over = core::Steady::now() + core::secs(120);
-    GetParam().trouble(c);
+    GetParam().job_failures(c);
     c.run(220);
     expect_rules(c);
     EXPECT_EQ(finished(c), 12u) << "seed " << seed;
@@ -65,7 +65,7 @@
                         [](Cluster& c) {
                           c.at(14, [&c] {
                             int n = 0;
-                            for (auto& [name, w] : c.workers)
+                            for (auto& [name, w] : c.agents)
                               if (n++ % 3 == 0) w.dead = true, c.cloud.hosts[name].dead = true;
                           });
                         }},
@@ -74,7 +74,7 @@
                           for (std::size_t n = 0; n < 3; ++n) c.at(15, [&c, n] { c.crash(n, 8); });
                           c.at(16, [&c] {
                             // Every machine that has something to lose.
-                            std::erase_if(c.workers, [&c](const auto& w) {
+                            std::erase_if(c.agents, [&c](const auto& w) {
                               return !w.second.tasks.empty() && c.cloud.hosts.erase(w.first) > 0;
                             });
                           });
@@ -82,12 +82,12 @@
                     Day{"machines_hang_and_resume",
                         [](Cluster& c) {
                           c.at(14, [&c] {
-                            for (auto& [_, w] : c.workers) c.hang(w, 8);
+                            for (auto& [_, w] : c.agents) c.hang(w, 8);
                           });
                         }},
                     Day{"stands_still_past_its_hold_and_goes_on",
                         [](Cluster& c) {
-                          // Whatever it had decided before is void: others own its parts by then.
+                          // Whatever it had decided before is void: others own its partitions by then.
                           c.at(13, [&c] { c.frozen.insert(0); });
                           c.at(13 + 12, [&c] { c.frozen.clear(); });
                           c.at(34, [&c] { c.frozen.insert(1); });
@@ -105,7 +105,7 @@
                           c.faults.copy_report = 0.3;
                           c.at(14, [&c] {
                             int n = 0;
-                            for (auto& [_, w] : c.workers)
+                            for (auto& [_, w] : c.agents)
                               if (n++ % 2 == 0) c.hang(w, 16);
                           });
                           c.at(80, [&c] { c.faults = {}; });
@@ -128,8 +128,8 @@
                           c.at(14, [&c] {
                             // Two machines with something to do; and they stay so.
                             int n = 0;
-                            for (auto& [_, w] : c.workers)
-                              if (!w.tasks.empty() && n++ < 2) w.deaf = true;
+                            for (auto& [_, w] : c.agents)
+                              if (!w.tasks.empty() && n++ < 2) w.unreachable = true;
                           });
                         }},
                     Day{"copies_of_reports_come_late",
@@ -139,7 +139,7 @@
                             c.at(12 + 9 * i,
                                  [&c, i] { c.crash(static_cast<std::size_t>(i % 3), i % 2 ? 0.2 : 5); });
                           c.at(20, [&c] {
-                            for (auto& [name, w] : c.workers)
+                            for (auto& [name, w] : c.agents)
                               if (!w.tasks.empty()) {
                                 w.dead = true;
                                 c.cloud.hosts[name].dead = true;
@@ -233,31 +233,31 @@
 TEST_P(RandomDay, KeepsTheRules) {
   Cluster c(GetParam());
   std::mt19937 dice(GetParam() * 7919);
-  const auto when = [&] { return 5.0 + dice() % 90; };
+  const auto compares = [&] { return 5.0 + dice() % 90; };
   load(c, 16, 60);
   c.faults = {0.01, 0.02, 0.02, 0.1};
   for (int i = 0; i < 4; ++i)
-    c.at(when(), [&c, n = dice() % 3, back = dice() % 2 ? 0.3 : 4.0] { c.crash(n, back); });
+    c.at(compares(), [&c, n = dice() % 3, back = dice() % 2 ? 0.3 : 4.0] { c.crash(n, back); });
   for (int i = 0; i < 3; ++i) {
     const char* what[] = {"state", "cloud", "zone a", "zone b"};
     const std::pair<std::size_t, std::string> side{dice() % 3, what[dice() % 4]};
-    const double from = when();
+    const double from = compares();
     c.at(from, [&c, side] { c.cut.insert(side); });
     c.at(from + 5 + dice() % 25, [&c, side] { c.cut.erase(side); });
   }
-  const double outage = when();
+  const double outage = compares();
   c.at(outage, [&c] { c.state.outage = true; });
   c.at(outage + 3 + dice() % 15, [&c] { c.state.recover(core::Steady::now()); });
   for (int i = 0; i < 4; ++i) {
-    const double from = when();
+    const double from = compares();
     const auto pick = dice();
     c.at(from, [&c, pick] {
-      if (c.workers.empty()) return;
-      auto it = c.workers.begin();
-      std::advance(it, pick % c.workers.size());
+      if (c.agents.empty()) return;
+      auto it = c.agents.begin();
+      std::advance(it, pick % c.agents.size());
       c.hang(it->second, 3 + pick % 20);
     });
-    c.at(when(), [&c, pick] {
+    c.at(compares(), [&c, pick] {
       if (c.jobs.empty()) return;
       auto it = c.jobs.begin();
       std::advance(it, pick % c.jobs.size());
--- a/tests/app/limits_test.cpp
+++ b/tests/app/limits_test.cpp
@@ -1,8 +1,8 @@
-// Records written under larger limits of the state service, and what is written under small ones.
+// Records written under larger limits of the key-value store, and what is written under small ones.
 #include <gtest/gtest.h>
 
 #include "app/upgrade.hpp"
-#include "app/waiting.hpp"
+#include "app/waiting_tasks.hpp"
 
 namespace finchrun::app {
 namespace {
@@ -23,8 +23,8 @@
   static void place_jobs(Upgrade& u, std::vector<core::JobId>& ids) {
     for (int i = 0; i < 12; ++i) ids.push_back(u.job("req-" + std::to_string(i), kTasks));
     for (const auto id : ids) {
-      PartWriter writer(u.before.w, u.before.part);
-      ASSERT_TRUE(writer.add(id, u.before.entries(kTasks, kAttempt)));
+      AssignmentWriter writer(u.before.w, u.before.partition);
+      ASSERT_TRUE(writer.add(id, u.before.assignments(kTasks, kAttempt)));
       u.commit(writer);
     }
   }
@@ -43,46 +43,47 @@
       << "else there is nothing to split";
   const auto each = GetParam().ended_each;
   for (const auto id : ids) {
-    PartWriter writer(u.before.w, u.before.part);
-    for (std::uint32_t t = 0; t < kTasks; t += each) writer.settle({id, u.before.part, t, kAttempt, true});
+    AssignmentWriter writer(u.before.w, u.before.partition);
+    for (std::uint32_t t = 0; t < kTasks; t += each)
+      writer.apply_tombstones({id, u.before.partition, t, kAttempt, true});
     u.commit(writer);
   }
   const std::uint32_t done = (kTasks + each - 1) / each;
   int steps = 0;
   for (; steps < 200; ++steps) {
-    PartWriter writer(u.after.w, u.after.part);
+    AssignmentWriter writer(u.after.w, u.after.partition);
     if (!writer.shrink()) break;
     u.commit(writer);
     expect_within(u);
     for (std::size_t i = 0; i < ids.size(); ++i) {
-      EXPECT_EQ(u.after.w.mirror.done(ids[i]), done) << "step " << steps;
-      EXPECT_EQ(u.after.w.mirror.placed(ids[i]), kTasks - done) << "step " << steps;
+      EXPECT_EQ(u.after.w.cache.done(ids[i]), done) << "step " << steps;
+      EXPECT_EQ(u.after.w.cache.placed(ids[i]), kTasks - done) << "step " << steps;
     }
     EXPECT_EQ(u.done_and_placed("req-3"), std::pair(done, kTasks - done)) << "step " << steps;
   }
   EXPECT_GT(steps, 0);
-  const PartWriter last(u.after.w, u.after.part);
-  EXPECT_FALSE(last.ends_too_long());
-  for (const auto shard : u.after.w.mirror.shards(u.after.part)) EXPECT_TRUE(last.fits(shard));
+  const AssignmentWriter last(u.after.w, u.after.partition);
+  EXPECT_FALSE(last.tombstones_too_long());
+  for (const auto shard : u.after.w.cache.shards(u.after.partition)) EXPECT_TRUE(last.fits(shard));
   // More of the same jobs is placed: what is done of them is not counted again, wherever that goes.
   for (std::size_t i = 0; i < ids.size(); ++i) {
-    auto more = u.after.entries(1, kAttempt + 1);
+    auto more = u.after.assignments(1, kAttempt + 1);
     more[0].task = kTasks;
-    PartWriter writer(u.after.w, u.after.part);
+    AssignmentWriter writer(u.after.w, u.after.partition);
     ASSERT_TRUE(writer.add(ids[i], more));
     u.commit(writer);
     EXPECT_EQ(u.done_and_placed("req-" + std::to_string(i)), std::pair(done, kTasks - done + 1));
   }
   for (const auto id : ids) {
-    PartWriter writer(u.after.w, u.after.part);
-    ASSERT_TRUE(writer.settle({id, u.after.part, kTasks, kAttempt + 1, false}));
+    AssignmentWriter writer(u.after.w, u.after.partition);
+    ASSERT_TRUE(writer.apply_tombstones({id, u.after.partition, kTasks, kAttempt + 1, false}));
     u.commit(writer);
   }
   // The rest ends too, and is recorded within the limits.
   for (std::uint32_t t = 0; t < kTasks; ++t)
     for (const auto id : ids) {
-      PartWriter writer(u.after.w, u.after.part);
-      ASSERT_TRUE(writer.settle({id, u.after.part, t, kAttempt, true}));
+      AssignmentWriter writer(u.after.w, u.after.partition);
+      ASSERT_TRUE(writer.apply_tombstones({id, u.after.partition, t, kAttempt, true}));
       if (writer.touched() == 0) continue;
       u.commit(writer);
       expect_within(u);
@@ -98,7 +99,7 @@
   settings.members = {{"perch-1", "a", {}}};
   Upgrade u(settings);
   const auto member = [&](const char* record) {
-    u.after.w.mirror.apply({"members/perch-1", boost::json::parse(record), ++u.stamp});
+    u.after.w.cache.apply({"members/perch-1", boost::json::parse(record), ++u.revision});
   };
   member(R"({"inc":3})");
   std::vector<core::JobId> ids;
@@ -106,7 +107,7 @@
   std::uint32_t done = 0;
   const auto shrink = [&] {
     for (int steps = 0; steps < 200; ++steps) {
-      PartWriter writer(u.after.w, u.after.part);
+      AssignmentWriter writer(u.after.w, u.after.partition);
       if (!writer.shrink()) return steps;
       u.commit(writer);
       for (std::size_t i = 0; i < ids.size(); ++i) {
@@ -119,21 +120,21 @@
   };
   for (std::uint32_t t = 0; t < kTasks; t += GetParam().ended_each, ++done)
     for (const auto id : ids) {
-      PartWriter writer(u.before.w, u.before.part);
-      ASSERT_TRUE(writer.settle({id, u.before.part, t, kAttempt, true}));
+      AssignmentWriter writer(u.before.w, u.before.partition);
+      ASSERT_TRUE(writer.apply_tombstones({id, u.before.partition, t, kAttempt, true}));
       u.commit(writer);
     }
   const int steps = shrink();
   EXPECT_LT(steps, 200);
   member(R"({"inc":4,"level":2})");
   for (int left = 0; left < 200; ++left) {
-    PartWriter writer(u.after.w, u.after.part);
+    AssignmentWriter writer(u.after.w, u.after.partition);
     if (!writer.shrink()) break;
     u.commit(writer);
   }
-  const PartWriter last(u.after.w, u.after.part);
-  EXPECT_FALSE(last.ends_too_long());
-  for (const auto shard : u.after.w.mirror.shards(u.after.part)) EXPECT_TRUE(last.fits(shard));
+  const AssignmentWriter last(u.after.w, u.after.partition);
+  EXPECT_FALSE(last.tombstones_too_long());
+  for (const auto shard : u.after.w.cache.shards(u.after.partition)) EXPECT_TRUE(last.fits(shard));
   for (std::size_t i = 0; i < ids.size(); ++i)
     EXPECT_EQ(u.done_and_placed("req-" + std::to_string(i)), std::pair(done, kTasks - done));
 }
@@ -142,16 +143,16 @@
 // recorded.
 TEST_P(SmallLimits, ALargestGangIsRecordedAsAWhole) {
   Upgrade u(limits());
-  const auto most = static_cast<std::uint32_t>(PartWriter::most_entries(limits()));
+  const auto most = static_cast<std::uint32_t>(AssignmentWriter::most_assignments(limits()));
   ASSERT_GE(most, 16u);
   const auto small = u.job("req-1", 5), gang = u.job("req-2", most, true);
   {
-    PartWriter writer(u.after.w, u.after.part);
-    ASSERT_TRUE(writer.add(small, u.after.entries(5, 8)));
+    AssignmentWriter writer(u.after.w, u.after.partition);
+    ASSERT_TRUE(writer.add(small, u.after.assignments(5, 8)));
     u.commit(writer);
   }
-  PartWriter writer(u.after.w, u.after.part);
-  ASSERT_TRUE(writer.add(gang, u.after.entries(most, 9)));
+  AssignmentWriter writer(u.after.w, u.after.partition);
+  ASSERT_TRUE(writer.add(gang, u.after.assignments(most, 9)));
   u.commit(writer);
   expect_within(u);
   EXPECT_EQ(u.done_and_placed("req-2"), std::pair(0u, most));
@@ -172,18 +173,18 @@
   Upgrade u({100, 20, 1, 4});
   const auto id = u.job("req-1", 140);
   {
-    PartWriter writer(u.before.w, u.before.part);
-    ASSERT_TRUE(writer.add(id, u.before.entries(140, kAttempt)));
+    AssignmentWriter writer(u.before.w, u.before.partition);
+    ASSERT_TRUE(writer.add(id, u.before.assignments(140, kAttempt)));
     u.commit(writer);
   }
   {
-    PartWriter writer(u.after.w, u.after.part);
+    AssignmentWriter writer(u.after.w, u.after.partition);
     EXPECT_FALSE(writer.shrink());
     EXPECT_EQ(writer.touched(), 0u);
   }
   for (std::uint32_t t = 0; t < 140; ++t) {
-    PartWriter writer(u.after.w, u.after.part);
-    if (!writer.shrink()) writer.settle({id, u.after.part, t, kAttempt, true});
+    AssignmentWriter writer(u.after.w, u.after.partition);
+    if (!writer.shrink()) writer.apply_tombstones({id, u.after.partition, t, kAttempt, true});
     if (writer.touched() == 0) continue;
     u.commit(writer);
     EXPECT_LE(u.largest, 1024u);
@@ -196,27 +197,28 @@
   Upgrade u({100, 20, 2, 5});
   const auto id = u.job("req-1", 100), other = u.job("req-2", 100), third = u.job("req-3", 100);
   for (const auto job : {id, other, third}) {
-    PartWriter writer(u.before.w, u.before.part);
-    ASSERT_TRUE(writer.add(job, u.before.entries(100, kAttempt)));
+    AssignmentWriter writer(u.before.w, u.before.partition);
+    ASSERT_TRUE(writer.add(job, u.before.assignments(100, kAttempt)));
     u.commit(writer);
   }
   {
-    PartWriter writer(u.before.w, u.before.part);
+    AssignmentWriter writer(u.before.w, u.before.partition);
     for (std::uint32_t t = 0; t < 98; t += 2)
-      for (const auto job : {id, other, third}) writer.settle({job, u.before.part, t, kAttempt, true});
+      for (const auto job : {id, other, third})
+        writer.apply_tombstones({job, u.before.partition, t, kAttempt, true});
     u.commit(writer);
   }
-  ASSERT_TRUE(PartWriter(u.after.w, u.after.part).ends_too_long());
+  ASSERT_TRUE(AssignmentWriter(u.after.w, u.after.partition).tombstones_too_long());
   for (int step = 0; step < 20; ++step) {
-    PartWriter writer(u.after.w, u.after.part);
+    AssignmentWriter writer(u.after.w, u.after.partition);
     if (!writer.shrink()) break;
     u.commit(writer);
     EXPECT_EQ(u.done_and_placed("req-1"), std::pair(49u, 51u));
     EXPECT_EQ(u.done_and_placed("req-2"), std::pair(49u, 51u));
   }
-  PartWriter writer(u.after.w, u.after.part);
-  EXPECT_FALSE(writer.ends_too_long());
-  ASSERT_TRUE(writer.settle({id, u.after.part, 1, kAttempt, true}));
+  AssignmentWriter writer(u.after.w, u.after.partition);
+  EXPECT_FALSE(writer.tombstones_too_long());
+  ASSERT_TRUE(writer.apply_tombstones({id, u.after.partition, 1, kAttempt, true}));
   u.commit(writer);
   EXPECT_LE(u.largest, 2048u);
   EXPECT_EQ(u.done_and_placed("req-1"), std::pair(50u, 50u));
@@ -243,24 +245,24 @@
   };
   const boost::json::array nothing, machine{"host-100000", 1, placed},
       attempt{7, boost::json::array{machine}};
-  w.mirror.apply({"runs/a.0/0", Object{{"jobs", Object{}}}, 300});
-  w.mirror.apply({"runs/a.0/1", shard("req-1", {{"p", nothing}, {"d", done}}), 300});
-  w.mirror.apply({"runs/a.0/2", shard("req-2", {{"p", boost::json::array{attempt}}, {"d", nothing}}), 300});
-  w.mirror.apply({"ends/a.0",
-                  Object{{"0", Object{{"req-1", boost::json::array{boost::json::array{0, 7, 0, 1}}}}},
-                         {"2", Object{{"req-2", ended}}}},
-                  300});
-  PartWriter writer(w, u.after.part);
-  ASSERT_TRUE(writer.ends_too_long());
-  ASSERT_EQ(w.mirror.done(left), 150u);
-  auto more = u.after.entries(1, kAttempt);
+  w.cache.apply({"runs/a.0/0", Object{{"jobs", Object{}}}, 300});
+  w.cache.apply({"runs/a.0/1", shard("req-1", {{"p", nothing}, {"d", done}}), 300});
+  w.cache.apply({"runs/a.0/2", shard("req-2", {{"p", boost::json::array{attempt}}, {"d", nothing}}), 300});
+  w.cache.apply({"ends/a.0",
+                 Object{{"0", Object{{"req-1", boost::json::array{boost::json::array{0, 7, 0, 1}}}}},
+                        {"2", Object{{"req-2", ended}}}},
+                 300});
+  AssignmentWriter writer(w, u.after.partition);
+  ASSERT_TRUE(writer.tombstones_too_long());
+  ASSERT_EQ(w.cache.done(left), 150u);
+  auto more = u.after.assignments(1, kAttempt);
   more[0].task = 399;
   ASSERT_TRUE(writer.add(left, more));
-  Edit e;
+  PlannedTransaction e;
   writer.finish(e);
-  for (const auto& c : e.then) w.mirror.apply({c.key, c.value, 301});
-  EXPECT_EQ(w.mirror.done(left), 150u);
-  EXPECT_EQ(w.mirror.placed(left), 1u);
+  for (const auto& c : e.writes) w.cache.apply({c.key, c.value, 301});
+  EXPECT_EQ(w.cache.done(left), 150u);
+  EXPECT_EQ(w.cache.placed(left), 1u);
 }
 
 }  // namespace
--- a/tests/app/meetings_test.cpp
+++ b/tests/app/overlapping_faults_test.cpp
@@ -1,6 +1,6 @@
 // Two troubles that meet: the list of the operators' letter, each brought about once. Every rule is checked
 // after each step, and once the troubles are over nobody may be left waiting or without an answer.
-#include "app/days.hpp"
+#include "app/fault_scenarios.hpp"
 
 namespace finchrun::sim {
 namespace {
@@ -23,11 +23,11 @@
 }
 
 void hang_those_with_tasks(Cluster& c, std::size_t most, double for_s) {
-  for (auto& [_, w] : c.workers)
+  for (auto& [_, w] : c.agents)
     if (most > 0 && !w.tasks.empty() && !w.hanging) c.hang(w, for_s), --most;
 }
 
-// The state service refuses the leader alone, others confirm cancellations, then it is out for all.
+// The key-value store refuses the leader alone, others confirm cancellations, then it is out for all.
 void gap(Cluster& c, double refused_at, double out_at, double out_for) {
   c.at(refused_at, [&c] { c.refused.insert(c.busiest()); });
   for (double t = refused_at; t < out_at; t += 0.25) c.at(t, [&c] { cancel_running(c, 1); });
@@ -54,7 +54,7 @@
   const char* name;
   Timing timing;
   double over_s;  // when the troubles are over
-  std::function<void(Cluster&)> trouble;
+  std::function<void(Cluster&)> job_failures;
 };
 class Meetings : public testing::TestWithParam<Meeting> {};
 TEST_P(Meetings, KeepsTheRulesAndFinishes) {
@@ -63,7 +63,7 @@
     Cluster c(seed, 3, 3, m.timing);
     load(c, 9, 25);
     c.troubles_over = core::Steady::now() + core::secs(m.over_s);
-    m.trouble(c);
+    m.job_failures(c);
     c.run(m.over_s + 150);
     expect_rules(c);
     for (const auto& [id, job] : c.jobs)
@@ -121,15 +121,15 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 // A controller hears none of its machines for longer than a lease, while everything else reaches it. Their
-// workers wait for each time-out, and were sent to the owner once more by whoever they came to: their leases
+// agents wait for each time-out, and were sent to the leader once more by whoever they came to: their leases
 // ran out.
 TEST(CutFromWorkers, CostsNoTasksWhileAnotherControllerRelays) {
   for (const std::uint32_t seed : {21u, 22u, 23u}) {
     Cluster c(seed);
     for (int i = 0; i < 8; ++i) c.at(5, [&c] { c.submit(1, false, 1, 60, "blue", "normal"); });
     c.at(20, [&c] {
-      const auto owner = c.busiest();
-      for (const char* zone : {"zone a", "zone b"}) c.cut.insert({owner, zone});
+      const auto leader = c.busiest();
+      for (const char* zone : {"zone a", "zone b"}) c.cut.insert({leader, zone});
     });
     c.at(50, [&c] { c.cut.clear(); });
     c.run(120);
@@ -140,7 +140,7 @@
 }
 
 // The same while new jobs come: starts without an answer cost their part a new term, again and again. One for
-// each of the two parts is left, for those that were on their way.
+// each of the two partitions is left, for those that were on their way.
 TEST(CutFromWorkers, TakesFewNewTermsWhileWorkIsStartedByReports) {
   for (const std::uint32_t seed : {24u, 25u}) {
     Cluster c(seed);
@@ -148,8 +148,8 @@
       c.at(5 + i, [&c, i] { c.submit(1, false, 1, 4, i % 2 ? "red" : "blue", "normal"); });
     std::size_t before = 0;
     c.at(20, [&] {
-      const auto owner = c.busiest();
-      for (const char* zone : {"zone a", "zone b"}) c.cut.insert({owner, zone});
+      const auto leader = c.busiest();
+      for (const char* zone : {"zone a", "zone b"}) c.cut.insert({leader, zone});
       before = c.state.changes_of("parts/");
     });
     c.at(80, [&] {
@@ -270,10 +270,10 @@
                   long_arrays(c, 60);
                   c.at(15, [&c] {
                     int n = 0;
-                    for (auto& [_, w] : c.workers)
+                    for (auto& [_, w] : c.agents)
                       if (!w.tasks.empty() && n++ < 3) {
-                        w.deaf = true;
-                        c.at(18, [&w] { w.deaf = false; });
+                        w.unreachable = true;
+                        c.at(18, [&w] { w.unreachable = false; });
                       }
                     c.crash(c.busiest(), 15);
                   });
@@ -355,11 +355,11 @@
                   long_arrays(c, 60);
                   c.at(15, [&c] {
                     int n = 0;
-                    for (auto& [_, w] : c.workers)
+                    for (auto& [_, w] : c.agents)
                       if (n++ % 2 == 0) {
                         w.mute = true;
                         c.at(30, [&c, name = w.name] {
-                          if (const auto at = c.workers.find(name); at != c.workers.end())
+                          if (const auto at = c.agents.find(name); at != c.agents.end())
                             at->second.mute = false;
                         });
                       }
@@ -386,7 +386,7 @@
                 [](Cluster& c) {
                   long_arrays(c, 70);
                   c.at(18, [&c] {
-                    for (auto& [_, w] : c.workers)
+                    for (auto& [_, w] : c.agents)
                       if (w.zone == "a") c.hang(w, 60);
                     cancel_running(c, 5);
                   });
@@ -396,7 +396,7 @@
                   for (int i = 0; i < 4; ++i)
                     c.at(6, [&c, i] { c.submit(2 + i, i % 2 == 0, 1, 20, "blue", "normal", false, "a"); });
                   c.at(14, [&c] {
-                    for (auto& [name, w] : c.workers)
+                    for (auto& [name, w] : c.agents)
                       if (w.zone == "a") w.dead = true, c.cloud.hosts[name].dead = true;
                   });
                 }},
@@ -433,14 +433,14 @@
   const Timing timings[] = {kShort, kMiddle, kLong};
   Cluster c(GetParam(), 3, 3, timings[GetParam() % 3]);
   std::mt19937 dice(GetParam() * 104729);
-  const auto when = [&] { return 8.0 + dice() % 80; };
+  const auto compares = [&] { return 8.0 + dice() % 80; };
   const auto for_s = [&] { return 2.0 + dice() % 30; };
   load(c, 12, 40);
   long_arrays(c, 60);
-  const auto machine = [&c](std::uint32_t pick) -> Worker* {
-    if (c.workers.empty()) return nullptr;
-    auto it = c.workers.begin();
-    std::advance(it, pick % c.workers.size());
+  const auto machine = [&c](std::uint32_t pick) -> Agent* {
+    if (c.agents.empty()) return nullptr;
+    auto it = c.agents.begin();
+    std::advance(it, pick % c.agents.size());
     return &it->second;
   };
   const std::vector<std::function<void(double, std::uint32_t)>> troubles{
@@ -477,10 +477,10 @@
         for (std::uint32_t i = 0; i < 2; ++i) {
           auto* w = machine(pick + i);
           if (!w) continue;
-          (pick % 2 ? w->deaf : w->mute) = true;
+          (pick % 2 ? w->unreachable : w->mute) = true;
           c.at(s, [&c, name = w->name] {
-            if (const auto at = c.workers.find(name); at != c.workers.end())
-              at->second.deaf = at->second.mute = false;
+            if (const auto at = c.agents.find(name); at != c.agents.end())
+              at->second.unreachable = at->second.mute = false;
           });
         }
       },
@@ -490,7 +490,7 @@
       }};
   for (int i = 0; i < 7; ++i) {
     const auto pick = dice();
-    const double from = when(), last = for_s();
+    const double from = compares(), last = for_s();
     c.at(from, [&troubles, pick, last] { troubles[pick % troubles.size()](last, pick / 16); });
     c.at(from + 0.2 * (pick % 10), [&c] { cancel_running(c, 2); });
   }
--- a/tests/app/production_reader.hpp
+++ b/tests/app/production_reader.hpp
@@ -2,7 +2,7 @@
 // checked for what that version would make of it.
 #pragma once
 
-#include "state/mirror.hpp"
+#include "state/state_cache.hpp"
 
 namespace finchrun::app {
 
@@ -12,7 +12,7 @@
  public:
   explicit ProductionReader(jobs::Names& names) : names_(names) {}
 
-  void read(const state::Event& e) {
+  void read(const state::KeyUpdate& e) {
     if (e.key.starts_with("runs/")) read_shard(e.key.substr(e.key.rfind('/') + 1), *e.value);
     if (e.key.starts_with("ends/")) read_ends(*e.value);
   }
@@ -24,40 +24,40 @@
   }
 
  private:
-  using Runs = std::map<std::string, jobs::RunRecord>;  // by job
-  using Items = std::map<std::string, std::vector<state::Ended>>;
+  using Runs = std::map<std::string, jobs::JobAssignments>;  // by job
+  using Items = std::map<std::string, std::vector<state::Tombstone>>;
 
   void read_shard(const std::string& name, const boost::json::value& value) {
     Runs next;
     for (const auto& item : value.at("jobs").as_object())
-      next[std::string(item.key())] = jobs::run_from_json(item.value(), names_);
+      next[std::string(item.key())] = jobs::assignments_from_json(item.value(), names_);
     shards_[name] = std::move(next);
-    settle(name);
+    apply_tombstones(name);
   }
   void read_ends(const boost::json::value& value) {
-    ends_.clear();
+    tombstones_.clear();
     for (const auto& shard : value.as_object())
       for (const auto& job : shard.value().as_object())
         for (const auto& item : job.value().as_array()) {
           const auto& a = item.as_array();
           const auto number = [&](std::size_t i) { return a.at(i).to_number<std::uint32_t>(); };
-          state::Ended ended{number(0), a.at(1).to_number<std::uint64_t>(), {0, 0}};
+          state::Tombstone ended{number(0), a.at(1).to_number<std::uint64_t>(), {0, 0}};
           if (a.size() > 2) ended.done = {number(2), number(3)};
-          ends_[std::string(shard.key())][std::string(job.key())].push_back(ended);
+          tombstones_[std::string(shard.key())][std::string(job.key())].push_back(ended);
         }
-    for (const auto& [name, _] : ends_) settle(name);
+    for (const auto& [name, _] : tombstones_) apply_tombstones(name);
   }
-  void settle(const std::string& name) {
+  void apply_tombstones(const std::string& name) {
     const auto shard = shards_.find(name);
     if (shard == shards_.end()) return;
-    for (const auto& [job, items] : ends_[name])
+    for (const auto& [job, items] : tombstones_[name])
       if (const auto run = shard->second.find(job); run != shard->second.end())
-        state::settle(run->second, items);
+        state::apply_tombstones(run->second, items);
   }
 
   jobs::Names& names_;
   std::map<std::string, Runs> shards_;
-  std::map<std::string, Items> ends_;
+  std::map<std::string, Items> tombstones_;
 };
 
 }  // namespace finchrun::app
--- a/tests/app/record_history_test.cpp
+++ b/tests/app/record_history_test.cpp
@@ -1,5 +1,5 @@
-// Random histories of one part's records across an upgrade: whatever is written, every reader counts each
-// task once.
+// Random histories of one partition's records across an upgrade: whatever is written, every reader counts
+// each task once.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -16,12 +16,13 @@
   bool production_listed;  // a controller of the version in production may read what is written
 };
 
-// The tasks of one part's jobs, and what has become of them.
+// The tasks of one partition's jobs, and what has become of them.
 class History {
  public:
   History(const HistoryCase& c, std::uint32_t seed)
       : u_(settings(c)), listed_(c.production_listed), dice_(seed) {
-    if (listed_) u_.after.w.mirror.apply({"members/perch-1", boost::json::parse(R"({"inc":3})"), ++u_.stamp});
+    if (listed_)
+      u_.after.w.cache.apply({"members/perch-1", boost::json::parse(R"({"inc":3})"), ++u_.revision});
   }
   // What production does before the upgrade, under the limits of then.
   void before_upgrade() {
@@ -35,7 +36,7 @@
   // What the new version does, a step of shrinking between any two other writes.
   void after_upgrade() {
     for (int i = 0; i < 60; ++i) {
-      PartWriter writer(u_.after.w, u_.after.part);
+      AssignmentWriter writer(u_.after.w, u_.after.partition);
       if (writer.shrink()) u_.commit(writer);
       check("shrunk");
       if (i % 3 == 0) place_some(u_.after);
@@ -65,34 +66,34 @@
     u_.job(job.name, job.tasks);
     jobs_.push_back(std::move(job));
   }
-  void place_some(OnePart& owner) {
-    PartWriter writer(owner.w, owner.part);
+  void place_some(OnePart& leader) {
+    AssignmentWriter writer(leader.w, leader.partition);
     const auto attempt = ++attempt_;
     for (int i = 0; i < 8; ++i) {
       auto& job = jobs_[draw(static_cast<std::uint32_t>(jobs_.size()))];
-      std::vector<jobs::Entry> entries;
+      std::vector<jobs::TaskAssignment> assignments;
       for (const auto task : job.waiting)
-        if (entries.size() < 12) entries.push_back({task, attempt, machine(owner, draw(40)), 1});
-      if (entries.empty() || !writer.add(*owner.w.names.jobs.find(job.name), entries)) continue;
-      for (const auto& e : entries) {
+        if (assignments.size() < 12) assignments.push_back({task, attempt, machine(leader, draw(40)), 1});
+      if (assignments.empty() || !writer.add(*leader.w.names.jobs.find(job.name), assignments)) continue;
+      for (const auto& e : assignments) {
         job.waiting.erase(e.task);
         job.placed[e.task] = attempt;
       }
     }
     if (writer.touched() > 0) u_.commit(writer);
   }
-  static core::MachineId machine(OnePart& owner, std::uint32_t number) {
-    return owner.w.names.machines.intern("host-" + std::to_string(100000 + number));
+  static core::MachineId machine(OnePart& leader, std::uint32_t number) {
+    return leader.w.names.machines.intern("host-" + std::to_string(100000 + number));
   }
   // One in four is lost and waits again.
-  void end_some(OnePart& owner) {
-    PartWriter writer(owner.w, owner.part);
+  void end_some(OnePart& leader) {
+    AssignmentWriter writer(leader.w, leader.partition);
     for (auto& job : jobs_)
       for (auto it = job.placed.begin(); it != job.placed.end();) {
         const bool done = draw(5) != 0;
         const auto [task, attempt] = *it;
-        if (draw(12) != 0 ||
-            !writer.settle({*owner.w.names.jobs.find(job.name), owner.part, task, attempt, done})) {
+        if (draw(12) != 0 || !writer.apply_tombstones({*leader.w.names.jobs.find(job.name), leader.partition,
+                                                       task, attempt, done})) {
           ++it;
           continue;
         }
@@ -109,8 +110,8 @@
       EXPECT_EQ(Upgrade::done_and_placed(*reader, job.name), std::pair(done, placed))
           << job.name << " " << step;
       const auto id = *u_.after.w.names.jobs.find(job.name);
-      EXPECT_EQ(u_.after.w.mirror.done(id), done) << job.name << " " << step;
-      EXPECT_EQ(u_.after.w.mirror.placed(id), placed) << job.name << " " << step;
+      EXPECT_EQ(u_.after.w.cache.done(id), done) << job.name << " " << step;
+      EXPECT_EQ(u_.after.w.cache.placed(id), placed) << job.name << " " << step;
       if (!listed_) continue;
       EXPECT_EQ(u_.shards_first.done(job.name), done) << job.name << " " << step;
       EXPECT_EQ(u_.ends_first.done(job.name), done) << job.name << " " << step;
--- a/tests/app/standing_test.cpp
+++ b/tests/app/services_test.cpp
@@ -1,5 +1,5 @@
-// Standing jobs, and limits of the state service that fall in the middle of a day.
-#include "app/days.hpp"
+// Standing jobs, and limits of the key-value store that fall in the middle of a day.
+#include "app/fault_scenarios.hpp"
 
 namespace finchrun::sim {
 namespace {
@@ -25,7 +25,7 @@
   c.cancel(id);
   c.run(40);
   expect_rules(c);
-  for (const auto& [_, w] : c.workers) EXPECT_TRUE(w.tasks.empty());
+  for (const auto& [_, w] : c.agents) EXPECT_TRUE(w.tasks.empty());
 }
 
 struct Request {
@@ -68,7 +68,7 @@
   c.at(8, [&] { id = c.submit_standing(3, "red"); });
   const auto running = [&] {
     std::map<std::string, int> by_zone;
-    for (const auto& [_, w] : c.workers)
+    for (const auto& [_, w] : c.agents)
       for (const auto& [key, t] : w.tasks)
         by_zone[w.zone] += !w.dead && key.first == id && t.state == "running";
     return by_zone;
@@ -77,7 +77,7 @@
   const std::string lost = running()["a"] == 2 ? "a" : "b";
   ASSERT_EQ(running()[lost], 2);
   c.cloud.capacity = 0;
-  for (auto& [name, w] : c.workers)
+  for (auto& [name, w] : c.agents)
     if (w.zone == lost) w.dead = c.cloud.hosts[name].dead = true;
   c.run(150);
   expect_rules(c);
@@ -87,7 +87,7 @@
 
 struct Day {
   const char* name;
-  std::function<void(Cluster&)> trouble;
+  std::function<void(Cluster&)> job_failures;
   double most_missed;
 };
 class StandingDay : public testing::TestWithParam<Day> {};
@@ -97,7 +97,7 @@
     load(c, 9, 30);
     services(c, 4);
     c.troubles_over = core::Steady::now() + core::secs(120);
-    GetParam().trouble(c);
+    GetParam().job_failures(c);
     c.run(200);
     expect_rules(c);
     EXPECT_EQ(finished(c), 9u) << "seed " << seed;
@@ -128,7 +128,7 @@
                                          Day{"a_machine_dies",
                                              [](Cluster& c) {
                                                c.at(30, [&c] {
-                                                 for (auto& [name, w] : c.workers) {
+                                                 for (auto& [name, w] : c.agents) {
                                                    if (w.tasks.empty()) continue;
                                                    w.dead = c.cloud.hosts[name].dead = true;
                                                    return;
@@ -141,7 +141,7 @@
 struct Fall {
   const char* name;
   double at_s;
-  std::function<void(Cluster&)> trouble;
+  std::function<void(Cluster&)> job_failures;
 };
 class LimitsFall : public testing::TestWithParam<Fall> {};
 // Old controllers know the present limits only; new ones, restarted one by one, obey those announced, and the
@@ -156,9 +156,9 @@
     for (std::size_t n = 0; n < 3; ++n) c.at(21 + 5 * static_cast<double>(n), [&c, n] { c.crash(n, 1); });
     c.at(GetParam().at_s, [&c] {
       c.state.value_bytes = 1024;
-      c.state.transaction_changes = 5;
+      c.state.transaction_writes = 5;
     });
-    GetParam().trouble(c);
+    GetParam().job_failures(c);
     services(c, 0);
     c.at(40, [&c] { services(c, 3); });
     c.run(200);
--- a/tests/app/upgrade.hpp
+++ b/tests/app/upgrade.hpp
@@ -1,11 +1,11 @@
-// The records of part a.0 as the version in production left them, and the same store seen with smaller
+// The records of partition a.0 as the version in production left them, and the same store seen with smaller
 // limits.
 #pragma once
 
 #include <memory>
 
-#include "app/one_part.hpp"
 #include "app/production_reader.hpp"
+#include "app/single_partition.hpp"
 
 namespace finchrun::app {
 
@@ -20,49 +20,49 @@
     return s;
   }
   // Makes the edit durable: whoever reads the store sees it, in the order of the keys or the reverse.
-  void commit(PartWriter& writer) {
-    Edit e;
+  void commit(AssignmentWriter& writer) {
+    PlannedTransaction e;
     writer.finish(e);
-    ++stamp;
-    for (const auto& c : e.then) store[c.key] = {c.key, c.value, stamp};
+    ++revision;
+    for (const auto& c : e.writes) store[c.key] = {c.key, c.value, revision};
     for (auto* world : {&before, &after})
-      for (const auto& c : e.then) world->w.mirror.apply({c.key, c.value, stamp});
-    auto reversed = e.then;
+      for (const auto& c : e.writes) world->w.cache.apply({c.key, c.value, revision});
+    auto reversed = e.writes;
     std::reverse(reversed.begin(), reversed.end());
-    for (const auto& c : e.then) shards_first.read({c.key, c.value, stamp});
-    for (const auto& c : reversed) ends_first.read({c.key, c.value, stamp});
-    changes = e.then.size();
+    for (const auto& c : e.writes) shards_first.read({c.key, c.value, revision});
+    for (const auto& c : reversed) ends_first.read({c.key, c.value, revision});
+    changes = e.writes.size();
     largest = largest_value(e);
-    for (const auto& c : e.then)
+    for (const auto& c : e.writes)
       if (c.key.starts_with("runs/"))
         largest_shard = std::max(largest_shard, boost::json::serialize(*c.value).size());
   }
   core::JobId job(const std::string& name, std::uint32_t tasks, bool gang = false) {
-    before.stamp = after.stamp = ++stamp;
+    before.revision = after.revision = ++revision;
     after.job(name, tasks, gang);
-    store["jobs/" + name] = {
-        "jobs/" + name, jobs::to_json(*after.w.mirror.job(*after.w.names.jobs.find(name)), after.w.names),
-        stamp};
+    store["jobs/" + name] = {"jobs/" + name,
+                             jobs::to_json(*after.w.cache.job(*after.w.names.jobs.find(name)), after.w.names),
+                             revision};
     return before.job(name, tasks, gang);
   }
   // What a controller knows that starts now and reads the store.
-  [[nodiscard]] std::unique_ptr<World> fresh_reader() const {
-    auto reader = std::make_unique<World>(one_part_settings(), config::Tuning{});
-    for (const auto& [_, e] : store) reader->mirror.apply(e);
+  [[nodiscard]] std::unique_ptr<ControllerState> fresh_reader() const {
+    auto reader = std::make_unique<ControllerState>(one_part_settings(), config::Tuning{});
+    for (const auto& [_, e] : store) reader->cache.apply(e);
     return reader;
   }
   [[nodiscard]] std::pair<std::uint32_t, std::uint32_t> done_and_placed(const std::string& name) const {
     return done_and_placed(*fresh_reader(), name);
   }
-  [[nodiscard]] static std::pair<std::uint32_t, std::uint32_t> done_and_placed(const World& reader,
+  [[nodiscard]] static std::pair<std::uint32_t, std::uint32_t> done_and_placed(const ControllerState& reader,
                                                                                const std::string& name) {
     const auto id = *reader.names.jobs.find(name);
-    return {reader.mirror.done(id), reader.mirror.placed(id)};
+    return {reader.cache.done(id), reader.cache.placed(id)};
   }
   OnePart before, after;
   ProductionReader shards_first{before.w.names}, ends_first{before.w.names};
-  std::map<std::string, state::Event> store;
-  std::uint64_t stamp = 100;
+  std::map<std::string, state::KeyUpdate> store;
+  std::uint64_t revision = 100;
   std::size_t changes = 0, largest = 0;  // of the last edit
   std::size_t largest_shard = 0;         // of all
 };
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -82,9 +82,9 @@
   File f(kGood + GetParam().state);
   const auto limits = load_settings(f.path).state_limits;
   EXPECT_DOUBLE_EQ(limits.requests_per_s, GetParam().limits.requests_per_s);
-  EXPECT_DOUBLE_EQ(limits.changes_per_s, GetParam().limits.changes_per_s);
+  EXPECT_DOUBLE_EQ(limits.writes_per_s, GetParam().limits.writes_per_s);
   EXPECT_DOUBLE_EQ(limits.value_kb, GetParam().limits.value_kb);
-  EXPECT_EQ(limits.transaction_changes, GetParam().limits.transaction_changes);
+  EXPECT_EQ(limits.transaction_writes, GetParam().limits.transaction_writes);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, StateLimitsOf,
@@ -144,7 +144,7 @@
                         "deployment.workers.cancel_s"},
                     Bad{"[deployment]", "[deployment", "file"}));
 
-// What a worker's lease leaves of cancel_s, less drift and a reserve.
+// What a agent's lease leaves of cancel_s, less drift and a reserve.
 TEST(Settings, NewsMayBeAsOldAsTheLeaseLeavesOfACancellation) {
   struct Case {
     double lease_s, cancel_s, oldest_s;
--- a/tests/jobs/job_test.cpp
+++ b/tests/jobs/job_test.cpp
@@ -25,9 +25,9 @@
 
 TEST(Records, SurviveTheStore) {
   Names names;
-  names.parts.intern("a.0");
+  names.partitions.intern("a.0");
   JobRecord r;
-  r.spec.lane = names.lanes.intern("train");
+  r.spec.job_class = names.job_classes.intern("train");
   r.spec.team = names.teams.intern("vision");
   r.spec.image = names.images.intern("img");
   r.spec.shape = Shape::gang;
@@ -36,16 +36,16 @@
   r.spec.need = {8, 1, 64.5};
   r.spec.types = {{names.types.intern("g8")}};
   r.spec.zone = names.zones.intern("a");
-  r.spec.due_s = 12;
-  r.ranges = {{0, 4, core::PartId{0}}};
+  r.spec.deadline_s = 12;
+  r.ranges = {{0, 4, core::PartitionId{0}}};
   const auto back = job_from_json(to_json(r, names), names);
   EXPECT_EQ(to_json(back, names), to_json(r, names));
   EXPECT_EQ(back.ranges, r.ranges);
 
-  RunRecord run;
-  run.entries.push_back({2, 99, names.machines.intern("host-1"), 3});
+  JobAssignments run;
+  run.assignments.push_back({2, 99, names.machines.intern("host-1"), 3});
   run.done.add(0, 2);
-  EXPECT_EQ(to_json(run_from_json(to_json(run, names), names), names), to_json(run, names));
+  EXPECT_EQ(to_json(assignments_from_json(to_json(run, names), names), names), to_json(run, names));
 
   // A finished job's record still tells what its last tasks take, until they are certainly gone.
   r.status = Status::cancelled;
@@ -65,8 +65,8 @@
 class StoredByProduction : public testing::TestWithParam<Stored> {};
 TEST_P(StoredByProduction, IsReadAndWrittenAgainUnchanged) {
   Names names;
-  names.parts.intern("a.0");
-  names.parts.intern("b.0");
+  names.partitions.intern("a.0");
+  names.partitions.intern("b.0");
   const auto stored = json::parse(GetParam().record);
   const auto record = job_from_json(stored, names);
   EXPECT_EQ(record.status, GetParam().status);
@@ -97,17 +97,17 @@
 // The version in production keeps the fields it knows, with their types, when it moves a job's ranges.
 TEST(Records, AStandingJobStaysOneWhenProductionRewritesIt) {
   Names names;
-  names.parts.intern("a.0");
+  names.partitions.intern("a.0");
   JobRecord r;
-  r.spec.lane = names.lanes.intern("service");
+  r.spec.job_class = names.job_classes.intern("service");
   r.spec.team = names.teams.intern("red");
   r.spec.image = names.images.intern("img");
   r.spec.shape = Shape::standing;
-  r.spec.expect_s = kNoEnd;
+  r.spec.expected_run_s = kNoEnd;
   r.spec.priority = Priority::prod;
   r.spec.tasks = 3;
   r.spec.spread = true;
-  r.ranges = {{0, 3, core::PartId{0}}};
+  r.ranges = {{0, 3, core::PartitionId{0}}};
   const auto written = to_json(r, names).as_object();
   json::object rewritten;
   for (const char* field : {"st", "lane", "team", "gang", "pri", "n", "need", "img", "gb", "onez", "sprd",
@@ -118,7 +118,7 @@
   EXPECT_TRUE(rewritten.at("exp").is_number());
   const auto back = job_from_json(rewritten, names);
   EXPECT_TRUE(back.spec.standing());
-  EXPECT_EQ(back.spec.expect_s, kNoEnd);
+  EXPECT_EQ(back.spec.expected_run_s, kNoEnd);
 }
 
 }  // namespace
--- a/tests/ledger/allowance_test.cpp
+++ b/tests/ledger/quota_shares_test.cpp
@@ -1,31 +1,31 @@
-#include "ledger/allowance.hpp"
+#include "ledger/quota_shares.hpp"
 
 #include <gtest/gtest.h>
 
 namespace finchrun::ledger {
 namespace {
 
-using core::PartId;
+using core::PartitionId;
 
-double total(const Allowances& a, std::uint32_t parts) {
+double total(const QuotaShares& a, std::uint32_t partitions) {
   double sum = 0;
-  for (std::uint32_t p = 0; p < parts; ++p) sum += a.share(PartId{p}).gpus;
+  for (std::uint32_t p = 0; p < partitions; ++p) sum += a.share(PartitionId{p}).gpus;
   return sum;
 }
 
 struct Case {
   const char* name;
-  double wish;     // of part 0
-  double used[3];  // by part
+  double requested;  // of partition 0
+  double used[3];    // by partition
   double share[3];
 };
 class Give : public testing::TestWithParam<Case> {};
 TEST_P(Give, MovesOnlyWhatIsSpareAndWished) {
   const auto& c = GetParam();
-  Allowances a({0, 30, 0}, 3);
-  a.ask(PartId{0}, {0, c.wish, 0});
-  for (std::uint32_t p = 1; p < 3; ++p) a.give(PartId{p}, {0, c.used[p], 0});
-  for (std::uint32_t p = 0; p < 3; ++p) EXPECT_DOUBLE_EQ(a.share(PartId{p}).gpus, c.share[p]) << p;
+  QuotaShares a({0, 30, 0}, 3);
+  a.ask(PartitionId{0}, {0, c.requested, 0});
+  for (std::uint32_t p = 1; p < 3; ++p) a.give(PartitionId{p}, {0, c.used[p], 0});
+  for (std::uint32_t p = 0; p < 3; ++p) EXPECT_DOUBLE_EQ(a.share(PartitionId{p}).gpus, c.share[p]) << p;
   EXPECT_DOUBLE_EQ(total(a, 3), 30);
 }
 INSTANTIATE_TEST_SUITE_P(Table, Give,
@@ -36,10 +36,10 @@
                                          Case{"never_more_than_the_limit", 99, {0, 0, 0}, {30, 0, 0}}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(Allowances, NoLimitIsNotDealtOut) {
-  Allowances a({0, 0, 0}, 2);
-  a.ask(PartId{0}, {8, 1, 0});
-  EXPECT_FALSE(a.give(PartId{1}, {}));
+TEST(QuotaShares, NoLimitIsNotDealtOut) {
+  QuotaShares a({0, 0, 0}, 2);
+  a.ask(PartitionId{0}, {8, 1, 0});
+  EXPECT_FALSE(a.give(PartitionId{1}, {}));
 }
 
 }  // namespace
--- a/tests/peer/messages_test.cpp
+++ b/tests/peer/messages_test.cpp
@@ -9,25 +9,25 @@
   const auto ping = decode(encode(Ping{"perch-1", 77}));
   ASSERT_TRUE(ping);
   EXPECT_EQ(std::get<Ping>(*ping).label, "perch-1");
-  EXPECT_EQ(std::get<Ping>(*ping).epoch, 77u);
+  EXPECT_EQ(std::get<Ping>(*ping).revision, 77u);
   const auto pong = decode(encode(Pong{0.25, true, {{"req-2", "{}", 42}}}));
   ASSERT_TRUE(pong);
-  EXPECT_DOUBLE_EQ(std::get<Pong>(*pong).news_age_s, 0.25);
+  EXPECT_DOUBLE_EQ(std::get<Pong>(*pong).state_age_s, 0.25);
   EXPECT_TRUE(std::get<Pong>(*pong).complete);
   ASSERT_EQ(std::get<Pong>(*pong).cancelled.size(), 1u);
-  EXPECT_EQ(std::get<Pong>(*pong).cancelled[0].stamp, 42u);
-  const auto call = decode(encode(StateCall{true, "/commit", "{}"}));
+  EXPECT_EQ(std::get<Pong>(*pong).cancelled[0].revision, 42u);
+  const auto call = decode(encode(StoreRequest{true, "/commit", "{}"}));
   ASSERT_TRUE(call);
-  EXPECT_TRUE(std::get<StateCall>(*call).post);
-  EXPECT_EQ(std::get<StateCall>(*call).target, "/commit");
-  const auto relay = decode(encode(Relay{"report"}));
+  EXPECT_TRUE(std::get<StoreRequest>(*call).post);
+  EXPECT_EQ(std::get<StoreRequest>(*call).target, "/commit");
+  const auto relay = decode(encode(HeartbeatRelay{"report"}));
   ASSERT_TRUE(relay);
-  EXPECT_EQ(std::get<Relay>(*relay).report, "report");
-  const auto cancelled = decode(encode(Cancelled{"req-1", "{}", 41}));
+  EXPECT_EQ(std::get<HeartbeatRelay>(*relay).heartbeat, "report");
+  const auto cancelled = decode(encode(CancellationNotice{"req-1", "{}", 41}));
   ASSERT_TRUE(cancelled);
-  EXPECT_EQ(std::get<Cancelled>(*cancelled).job, "req-1");
-  EXPECT_EQ(std::get<Cancelled>(*cancelled).record, "{}");
-  EXPECT_EQ(std::get<Cancelled>(*cancelled).stamp, 41u);
+  EXPECT_EQ(std::get<CancellationNotice>(*cancelled).job, "req-1");
+  EXPECT_EQ(std::get<CancellationNotice>(*cancelled).record, "{}");
+  EXPECT_EQ(std::get<CancellationNotice>(*cancelled).revision, 41u);
 }
 
 // Frames as version 2 has always written them: the version in production must understand each, and be
@@ -57,12 +57,12 @@
                     Literal{"pong", Pong{2.0, true, {{"req-2", "{}", 42}}},
                             frame(1, std::string("\0\0\0\0\0\0\0\x40\x01", 9) + number(1) + text("req-2") +
                                          text("{}") + number(42))},
-                    Literal{"relay", Relay{"report"}, frame(2, text("report"))},
-                    Literal{"state_call", StateCall{true, "/commit", "{}"},
+                    Literal{"relay", HeartbeatRelay{"report"}, frame(2, text("report"))},
+                    Literal{"state_call", StoreRequest{true, "/commit", "{}"},
                             frame(3, "\x01" + text("/commit") + text("{}"))},
                     Literal{"reply", Reply{42, "body"},
                             frame(4, std::string("\x2a\0\0\0", 4) + text("body"))},
-                    Literal{"cancelled", Cancelled{"req-1", "{}", 41},
+                    Literal{"cancelled", CancellationNotice{"req-1", "{}", 41},
                             frame(5, text("req-1") + text("{}") + number(41))}),
     [](const auto& info) { return std::string(info.param.name); });
 
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "sched/deal.hpp"
+#include "sched/distribute.hpp"
 
 namespace finchrun::sched {
 namespace {
@@ -10,15 +10,15 @@
 using core::ImageId;
 using core::JobId;
 using core::MachineId;
-using core::PartId;
+using core::MachineTypeId;
+using core::PartitionId;
 using core::TeamId;
-using core::TypeId;
 using core::ZoneId;
 
 Node node(std::uint32_t id, double gpus, bool spot = false, std::uint32_t type = 0) {
   Node n;
   n.id = MachineId{id};
-  n.type = TypeId{type};
+  n.type = MachineTypeId{type};
   n.zone = ZoneId{0};
   n.spot = spot;
   n.size = n.free = {gpus * 8, gpus, gpus * 64};
@@ -60,7 +60,7 @@
   const auto& c = GetParam();
   std::vector<Costs> costs;
   for (double w : c.weights) costs.push_back(weight(w));
-  const auto plan = place(c.nodes, c.demands, costs, {TeamRoom{{}, 0, c.gpus_max}});
+  const auto plan = place(c.nodes, c.demands, costs, {TeamQuota{{}, 0, c.gpus_max}});
   std::vector<std::size_t> placed(c.demands.size());
   std::map<MachineId, core::Resources> free;
   for (const auto& n : c.nodes) free[n.id] = n.free;
@@ -104,7 +104,7 @@
              {1}},
         Case{"type not allowed",
              {node(0, 4, false, 1)},
-             {with(demand(0, 1, 1, false), [](Demand& d) { d.types = {{TypeId{0}}}; })},
+             {with(demand(0, 1, 1, false), [](Demand& d) { d.types = {{MachineTypeId{0}}}; })},
              {1},
              0,
              {0}},
@@ -136,7 +136,7 @@
   auto cold = node(0, 4), warm = node(1, 4);
   warm.images.push_back(ImageId{7});
   auto d = demand(7, 1, 4, true);
-  const auto plan = place({cold, warm}, {d}, {weight(1)}, {TeamRoom{}});
+  const auto plan = place({cold, warm}, {d}, {weight(1)}, {TeamQuota{}});
   ASSERT_EQ(plan.placements.size(), 1u);
   EXPECT_EQ(plan.placements[0].machine, MachineId{1});
 }
@@ -153,14 +153,14 @@
   d.need = {1, 0, 4};
   d.image_gb = 1;
   d.standing = true;
-  d.expect_s = jobs::kNoEnd;
+  d.expected_run_s = jobs::kNoEnd;
   struct Case {
     std::vector<Node> nodes;
     MachineId chosen;
   };
   for (const auto& c : {Case{{busy, alone}, alone.id}, Case{{busy, alone, warm, mate}, warm.id},
                         Case{{mate, alone}, alone.id}}) {
-    const auto plan = place(c.nodes, {d}, {weight(1)}, {TeamRoom{}});
+    const auto plan = place(c.nodes, {d}, {weight(1)}, {TeamQuota{}});
     ASSERT_EQ(plan.placements.size(), 1u);
     EXPECT_EQ(plan.placements[0].machine, c.chosen);
   }
@@ -175,8 +175,8 @@
   const char* name;
   std::uint32_t tasks;
   bool gang, spread;
-  std::vector<PartRoom> parts;
-  std::vector<std::uint32_t> want;  // tasks by part
+  std::vector<PartitionCapacity> partitions;
+  std::vector<std::uint32_t> want;  // tasks by partition
 };
 class Deal : public testing::TestWithParam<DealCase> {};
 TEST_P(Deal, EveryTaskToOnePart) {
@@ -185,25 +185,25 @@
   spec.tasks = c.tasks;
   spec.shape = c.gang ? jobs::Shape::gang : jobs::Shape::array;
   spec.spread = c.spread;
-  const auto ranges = deal(spec, c.parts);
-  std::vector<std::uint32_t> got(c.parts.size());
+  const auto ranges = distribute(spec, c.partitions);
+  std::vector<std::uint32_t> got(c.partitions.size());
   std::uint32_t at = 0;
   for (const auto& r : ranges) {
     EXPECT_EQ(r.from, at);
     at = r.to;
-    got[r.part.v] += r.to - r.from;
+    got[r.partition.index] += r.to - r.from;
   }
   EXPECT_EQ(at, c.tasks);
   EXPECT_EQ(got, c.want);
 }
-PartRoom room(std::uint32_t part, double free, double backlog = 0, double capacity = 16) {
-  return {PartId{part}, ZoneId{part}, true, free, backlog, capacity, false};
+PartitionCapacity room(std::uint32_t partition, double free, double backlog = 0, double capacity = 16) {
+  return {PartitionId{partition}, ZoneId{partition}, true, free, backlog, capacity, false};
 }
 // No zone gets more replicas than it must while others have room.
 TEST(Deal, ReplicasAreSpreadEvenly) {
   struct Case {
     std::uint32_t replicas;
-    std::vector<PartRoom> parts;
+    std::vector<PartitionCapacity> partitions;
     std::vector<std::uint32_t> want;
   };
   for (const auto& c : {Case{4, {room(0, 9), room(1, 8), room(2, 7)}, {2, 2, 0}},
@@ -213,8 +213,8 @@
     spec.tasks = c.replicas;
     spec.shape = jobs::Shape::standing;
     spec.spread = true;
-    std::vector<std::uint32_t> got(c.parts.size());
-    for (const auto& r : deal(spec, c.parts)) got[r.part.v] += r.to - r.from;
+    std::vector<std::uint32_t> got(c.partitions.size());
+    for (const auto& r : distribute(spec, c.partitions)) got[r.partition.index] += r.to - r.from;
     EXPECT_EQ(got, c.want) << c.replicas;
   }
 }
--- a/tests/sched/preempt_test.cpp
+++ b/tests/sched/preempt_test.cpp
@@ -14,13 +14,14 @@
 Node full(std::uint32_t id) {
   Node n;
   n.id = MachineId{id};
-  n.type = core::TypeId{0};
+  n.type = core::MachineTypeId{0};
   n.zone = core::ZoneId{0};
   n.size = {32, 4, 256};
   return n;
 }
-Running running(std::uint32_t job, std::uint32_t machine, int priority, double gpus, std::uint32_t team = 1) {
-  Running r;
+RunningTask running(std::uint32_t job, std::uint32_t machine, int priority, double gpus,
+                    std::uint32_t team = 1) {
+  RunningTask r;
   r.job = JobId{job};
   r.team = TeamId{team};
   r.machine = MachineId{machine};
@@ -42,7 +43,7 @@
   d.guaranteed = guaranteed;
   return d;
 }
-Running gang(Running r) {
+RunningTask gang(RunningTask r) {
   r.gang = true;
   return r;
 }
@@ -50,21 +51,22 @@
 struct Case {
   const char* name;
   Demand d;
-  std::vector<Running> running;
-  std::vector<TeamClaim> claims;
+  std::vector<RunningTask> running;
+  std::vector<GuaranteeUsage> guarantees;
   std::vector<std::size_t> victims;
 };
 class Preempt : public testing::TestWithParam<Case> {};
 TEST_P(Preempt, Stops) {
   const auto& c = GetParam();
-  const auto out = preempt({full(0), full(1)}, {c.d}, {0}, c.running, {TeamRoom{}, TeamRoom{}}, c.claims);
+  const auto out =
+      preempt({full(0), full(1)}, {c.d}, {0}, c.running, {TeamQuota{}, TeamQuota{}}, c.guarantees);
   std::vector<std::size_t> victims;
   if (!out.empty()) victims = out[0].victims;
   std::sort(victims.begin(), victims.end());
   EXPECT_EQ(victims, c.victims);
 }
-const TeamClaim kIdle{{}, 0, 8};
-TeamClaim uses(double gpus, double guarantee) { return {{gpus * 8, gpus, gpus * 64}, 0, guarantee}; }
+const GuaranteeUsage kIdle{{}, 0, 8};
+GuaranteeUsage uses(double gpus, double guarantee) { return {{gpus * 8, gpus, gpus * 64}, 0, guarantee}; }
 
 INSTANTIATE_TEST_SUITE_P(Table, Preempt,
                          testing::Values(Case{"lower_priority_is_stopped",
@@ -117,7 +119,7 @@
   auto n = full(0);
   n.reserved_for = JobId{50};
   EXPECT_TRUE(
-      preempt({n}, {demand(2, 1)}, {0}, {running(1, 0, 0, 4)}, {TeamRoom{}, TeamRoom{}}, {kIdle, kIdle})
+      preempt({n}, {demand(2, 1)}, {0}, {running(1, 0, 0, 4)}, {TeamQuota{}, TeamQuota{}}, {kIdle, kIdle})
           .empty());
 }
 
@@ -135,8 +137,8 @@
   d.waited_s = c.waited_s;
   auto small = running(1, 0, 1, 4), later = running(2, 1, 1, 4), last = running(3, 2, 1, 4);
   small.left_s = 10, later.left_s = 20, last.left_s = 300;
-  const auto out = gather({full(0), full(1), full(2)}, {d}, {0}, {small, later, last},
-                          {TeamRoom{}, TeamRoom{}}, 10, c.most);
+  const auto out = reserve_for_gangs({full(0), full(1), full(2)}, {d}, {0}, {small, later, last},
+                                     {TeamQuota{}, TeamQuota{}}, 10, c.most);
   EXPECT_EQ(out.empty() ? 0 : out[0].machines.size(), c.machines);
   if (!out.empty()) {
     EXPECT_DOUBLE_EQ(out[0].in_s, 20) << "on the machines that are free first";
@@ -152,18 +154,18 @@
 TEST(Gather, LargestGangBeginsUnderAStreamOfSmallOnes) {
   for (const bool kept : {true, false}) {
     auto free_gpus = std::vector<double>{0, 0};  // of two machines, all taken by tasks of one accelerator
-    std::vector<std::vector<double>> ends{{1, 2, 3, 4}, {1.5, 2.5, 3.5, 4.5}};
+    std::vector<std::vector<double>> tombstones{{1, 2, 3, 4}, {1.5, 2.5, 3.5, 4.5}};
     core::JobId reserved[2];
     bool began = false;
     for (double t = 0; t < 60 && !began; t += 0.5) {
       for (std::size_t m = 0; m < 2; ++m)
-        free_gpus[m] += static_cast<double>(std::erase_if(ends[m], [&](double e) { return e <= t; }));
+        free_gpus[m] += static_cast<double>(std::erase_if(tombstones[m], [&](double e) { return e <= t; }));
       std::vector<Node> nodes{full(0), full(1)};
-      std::vector<Running> busy;
+      std::vector<RunningTask> busy;
       for (std::uint32_t m = 0; m < 2; ++m) {
         nodes[m].free = {free_gpus[m] * 8, free_gpus[m], free_gpus[m] * 64};
         nodes[m].reserved_for = reserved[m];
-        for (const double e : ends[m]) {
+        for (const double e : tombstones[m]) {
           auto r = running(1, m, 1, 1);
           r.left_s = e - t;
           busy.push_back(r);
@@ -175,23 +177,24 @@
       small.job = JobId{5};
       small.need = {8, 1, 64};
       small.gang = false;
-      small.expect_s = 4;
+      small.expected_run_s = 4;
       Costs first, second;
       first.weight = 2;
-      const auto plan = place(nodes, {small, gang_job}, {first, second}, {TeamRoom{}, TeamRoom{}});
+      const auto plan = place(nodes, {small, gang_job}, {first, second}, {TeamQuota{}, TeamQuota{}});
       for (const auto& p : plan.placements) {
         began = began || p.demand == 1;
         if (p.demand == 0) {
-          free_gpus[p.machine.v] -= 1;
-          ends[p.machine.v].push_back(t + 4);
-          auto r = running(1, p.machine.v, 1, 1);
+          free_gpus[p.machine.index] -= 1;
+          tombstones[p.machine.index].push_back(t + 4);
+          auto r = running(1, p.machine.index, 1, 1);
           r.left_s = 4;
           busy.push_back(r);
         }
       }
       if (!kept) continue;
-      for (const auto& g : gather(plan.nodes, {small, gang_job}, plan.unplaced, busy, plan.teams, 10, 1))
-        for (const auto m : g.machines) reserved[m.v] = gang_job.job;
+      for (const auto& g :
+           reserve_for_gangs(plan.nodes, {small, gang_job}, plan.unplaced, busy, plan.teams, 10, 1))
+        for (const auto m : g.machines) reserved[m.index] = gang_job.job;
     }
     EXPECT_EQ(began, kept);
   }
@@ -206,7 +209,8 @@
     r.left_s = endless ? jobs::kNoEnd : 30;
     auto n = full(0);
     n.free = {};
-    EXPECT_EQ(gather({n}, {d}, {0}, {r}, {TeamRoom{}, TeamRoom{}}, 10, 1).size(), endless ? 0u : 1u);
+    EXPECT_EQ(reserve_for_gangs({n}, {d}, {0}, {r}, {TeamQuota{}, TeamQuota{}}, 10, 1).size(),
+              endless ? 0u : 1u);
   }
 }
 
@@ -226,7 +230,7 @@
   d.within = c.demand_within;
   auto victim = running(1, 0, c.victim_priority, 4);
   victim.within = c.victim_within;
-  const auto out = preempt({full(0)}, {d}, {0}, {victim}, {TeamRoom{}, TeamRoom{}}, {kIdle, uses(20, 8)});
+  const auto out = preempt({full(0)}, {d}, {0}, {victim}, {TeamQuota{}, TeamQuota{}}, {kIdle, uses(20, 8)});
   EXPECT_EQ(out.empty() ? 0 : out[0].victims.size(), c.stopped);
 }
 INSTANTIATE_TEST_SUITE_P(Table, Claims,
--- a/tests/sched/rank_test.cpp
+++ b/tests/sched/rank_test.cpp
@@ -17,7 +17,7 @@
 // Size: most cores 8. Raw 8/4=2 (three times), 8/8=1, 8/2=4 (twice); their sum is 15.
 // So 13.333, 6.667, 26.667. Usage: decayed 30 and 10 core-seconds: 75 and 25.
 TEST(Rank, CostsAreThePapers) {
-  const std::vector<Waiting> queue{
+  const std::vector<QueuedTasks> queue{
       {TeamId{0}, ImageId{0}, 4, 3}, {TeamId{1}, ImageId{1}, 8, 1}, {TeamId{1}, ImageId{2}, 2, 2}};
   const auto c = rank(queue, {2, 1}, {30, 10}, {0.5, 0.2, 0.3});
   const struct {
@@ -36,7 +36,7 @@
 }
 
 TEST(Rank, SharesScaleTheWeightAndNoUsageCostsNothing) {
-  const std::vector<Waiting> queue{{TeamId{0}, ImageId{0}, 4, 1}, {TeamId{1}, ImageId{0}, 4, 1}};
+  const std::vector<QueuedTasks> queue{{TeamId{0}, ImageId{0}, 4, 1}, {TeamId{1}, ImageId{0}, 4, 1}};
   const auto c = rank(queue, {3, 1}, {0, 0}, {0.3, 0.1, 0.6});
   EXPECT_DOUBLE_EQ(c[0].usage, 0);
   EXPECT_NEAR(c[0].weight / c[1].weight, 3, 1e-9);
--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -137,11 +137,11 @@
   settings_.cancel_s = timing.cancel_s;
   settings_.gang_peer_s = kGangPeerS;
   settings_.state_limits.requests_per_s = 1000;
-  settings_.state_limits.changes_per_s = 200;
+  settings_.state_limits.writes_per_s = 200;
   settings_.cloud_rps = 30;
   settings_.cloud_list_lag_s = 3;
   cloud.capacity = machines_per_zone + 2;
-  cloud.on_release = [this](const std::string& name) { workers.erase(name); };
+  cloud.on_release = [this](const std::string& name) { agents.erase(name); };
   for (int i = 0; i < machines_per_zone; ++i)
     for (const char* zone : {"a", "b"}) cloud.add(zone, now_, 0);
   for (std::size_t n = 0; n < nodes_.size(); ++n) boot(n);
@@ -197,29 +197,29 @@
     for (int quiet = 0; quiet < 2;) quiet = n->io.poll() > 0 ? 0 : quiet + 1;
   }
   for (const auto& [name, host] : cloud.hosts) {
-    if (workers.contains(name) || host.up > now_) continue;
-    Worker w;
+    if (agents.contains(name) || host.up > now_) continue;
+    Agent w;
     w.name = name;
     w.endpoint = host.endpoint;
     w.type = host.type;
     w.zone = host.zone;
     w.spot = host.spot;
     w.last_answered = w.next_report = now_;
-    workers[name] = w;
+    agents[name] = w;
   }
-  for (auto& [_, w] : workers) step_worker(w);
+  for (auto& [_, w] : agents) step_agent(w);
   check();
 }
 
-void Cluster::step_worker(Worker& w) {
+void Cluster::step_agent(Agent& w) {
   if (w.dead || w.hanging) return;
-  const auto before = w.session;
+  const auto before = w.agent_incarnation;
   const auto lost =
       static_cast<std::size_t>(std::count_if(w.tasks.begin(), w.tasks.end(), [&](const auto& t) {
         return t.second.on_machine() && !jobs.at(t.first.first).asked_cancel;
       }));
   w.expire(settings_.lease_s, now_);
-  killed_by_lease += w.session != before ? lost : 0;
+  killed_by_lease += w.agent_incarnation != before ? lost : 0;
   std::vector<std::string> ended;
   for (auto& [key, t] : w.tasks) {
     auto& job = jobs.at(key.first);
@@ -230,7 +230,7 @@
     }
     if (t.state == "waiting") {
       std::size_t here = 0;
-      for (const auto& [_, other] : workers)
+      for (const auto& [_, other] : agents)
         for (const auto& [_k, o] : other.tasks)
           here += o.job == t.job && o.attempt == t.attempt && (o.state == "waiting" || o.state == "running")
                       ? 1
@@ -262,9 +262,9 @@
   send_report(w);
 }
 
-void Cluster::start_task(Worker& w, Task& t) {
+void Cluster::start_task(Agent& w, Task& t) {
   ++starts;
-  for (const auto& [name, other] : workers)
+  for (const auto& [name, other] : agents)
     for (const auto& [_, o] : other.tasks)
       if (&o != &t && o.job == t.job && o.number == t.number && o.on_machine() && name != w.name)
         broken.push_back("ran_twice " + t.job + "/" + std::to_string(t.number));
@@ -275,16 +275,16 @@
     broken.push_back("wrong_place " + t.job);
   check_scatter(w, t);
   if (!job.spec.at("together").as_bool()) return;
-  for (const auto& [_, other] : workers)
+  for (const auto& [_, other] : agents)
     for (const auto& [_k, o] : other.tasks)
       if (o.job == t.job && o.on_machine() && other.zone != w.zone) broken.push_back("wrong_place " + t.job);
 }
 
-void Cluster::check_scatter(const Worker& w, const Task& t) {
+void Cluster::check_scatter(const Agent& w, const Task& t) {
   const auto& job = jobs.at(t.job);
   if (!job.spec.at("scatter").as_bool()) return;
   std::size_t in_zone = 0;
-  for (const auto& [_, other] : workers)
+  for (const auto& [_, other] : agents)
     for (const auto& [_k, o] : other.tasks)
       in_zone += o.job == t.job && o.on_machine() && other.zone == w.zone ? 1 : 0;
   if (in_zone > (job.tasks + 1) / 2) broken.push_back("wrong_place " + t.job + " not spread");
@@ -296,32 +296,32 @@
     if (!job.standing || !job.accepted || job.asked_cancel || core::since(job.accepted_at, now_) < kGrace)
       continue;
     std::size_t running = 0;
-    for (const auto& [_, w] : workers)
+    for (const auto& [_, w] : agents)
       for (const auto& [_k, t] : w.tasks) running += !w.dead && t.job == id && t.state == "running" ? 1 : 0;
     replica_s_due += kStep * job.tasks;
     replica_s_served += kStep * static_cast<double>(running);
   }
 }
 
-void Cluster::send_report(Worker& w) {
+void Cluster::send_report(Agent& w) {
   w.in_flight = true;
   w.changed = false;
   const auto sent = now_;
-  const auto session = w.session;
+  const auto agent_incarnation = w.agent_incarnation;
   const std::string name = w.name;
-  http::Request request{"POST", "/hello", json::serialize(w.report())};
+  http::Request request{"POST", "/hello", json::serialize(w.heartbeat())};
   const bool blocked = w.mute || cut.contains({w.node, "zone " + w.zone});
-  auto done = [this, name, sent, session](std::optional<http::Response> r) {
-    auto it = workers.find(name);
-    if (it == workers.end() || it->second.dead || it->second.hanging) return;
-    Worker& w = it->second;
+  auto done = [this, name, sent, agent_incarnation](std::optional<http::Response> r) {
+    auto it = agents.find(name);
+    if (it == agents.end() || it->second.dead || it->second.hanging) return;
+    Agent& w = it->second;
     w.in_flight = false;
     w.next_report = now_ + core::secs(settings_.report_s);
     if (r && r->status == 200) {
       const auto o = json::parse(r->body).as_object();
-      const auto token = o.at("baton").to_number<std::uint64_t>();
-      if (token < w.token || session != w.session) return;
-      w.token = token;
+      const auto fencing_token = o.at("baton").to_number<std::uint64_t>();
+      if (fencing_token < w.fencing_token || agent_incarnation != w.agent_incarnation) return;
+      w.fencing_token = fencing_token;
       w.last_answered = sent;
       w.execute(o.at("orders").as_array(), jobs, now_);
       if (w.changed) w.next_report = now_ + core::secs(0.5);
@@ -351,7 +351,7 @@
           random() % nodes_.size(), request, [](std::optional<http::Response>) {}, 4);
     });
   }
-  if (w.deaf) {
+  if (w.unreachable) {
     ask(
         w.node, std::move(request), [](std::optional<http::Response>) {}, 4);
     post(4, [done] { done(std::nullopt); });
@@ -389,7 +389,7 @@
 bool Cluster::reachable(std::size_t node, const config::Endpoint& to) const {
   if (to.host == "10.2.0.1") return !cut.contains({node, "state"});
   if (to.host == "10.2.0.2") return !cut.contains({node, "cloud"});
-  for (const auto& [_, w] : workers)
+  for (const auto& [_, w] : agents)
     if (w.endpoint == to.text()) return !cut.contains({node, "zone " + w.zone});
   return true;
 }
@@ -417,20 +417,20 @@
   if (to.host == "10.2.0.1")
     return refused.contains(node) ? Answer{503, "{}"} : state.handle(verb, target, body, now_);
   if (to.host == "10.2.0.2") return cloud.handle(verb, target, body, now_);
-  for (auto& [_, w] : workers) {
-    if (w.endpoint != to.text() || w.dead || w.deaf) continue;
+  for (auto& [_, w] : agents) {
+    if (w.endpoint != to.text() || w.dead || w.unreachable) continue;
     if (!w.hanging) return w.direct(body, jobs, now_);
     w.held.push_back(body);
   }
   return {};
 }
 
-void Cluster::hang(Worker& w, double for_s) {
+void Cluster::hang(Agent& w, double for_s) {
   w.hanging = true;
   at(for_s, [this, name = w.name] {
-    const auto it = workers.find(name);
-    if (it == workers.end()) return;
-    Worker& w = it->second;
+    const auto it = agents.find(name);
+    if (it == agents.end()) return;
+    Agent& w = it->second;
     w.hanging = w.in_flight = false;
     w.expire(settings_.lease_s, now_);
     for (const auto& body : std::exchange(w.held, {})) w.direct(body, jobs, now_);
@@ -574,7 +574,7 @@
 
 void Cluster::check() {
   std::map<std::string, double> used;
-  for (const auto& [_, w] : workers) {
+  for (const auto& [_, w] : agents) {
     if (w.dead) continue;
     for (const auto& [key, t] : w.tasks) {
       if (!t.on_machine()) continue;
@@ -604,8 +604,8 @@
   for (const auto& t : settings_.teams) team_free[t.name] = t.gpus_max;
   std::map<std::string, std::size_t> there;
   std::map<std::string, std::vector<double>> free;  // by zone
-  for (const auto& [_, w] : workers) {
-    double left = w.dead || w.hanging || w.deaf || w.mute ? 0 : kMachineGpus;
+  for (const auto& [_, w] : agents) {
+    double left = w.dead || w.hanging || w.unreachable || w.mute ? 0 : kMachineGpus;
     for (const auto& [key, t] : w.tasks) {
       if (t.state == "ended") continue;
       const auto& job = jobs.at(key.first);
--- a/tests/sim/cluster.hpp
+++ b/tests/sim/cluster.hpp
@@ -17,13 +17,13 @@
   double lose_answer = 0;   // carried out, the answer lost
   double late_request = 0;  // the caller has given up by the time it is carried out
   double max_delay_s = 0.02;
-  double copy_report = 0;  // a copy of the report comes once more, to any controller, up to so much later
+  double copy_report = 0;  // a copy of the heartbeat comes once more, to any controller, up to so much later
   double copy_after_s = 40;
   double late_write = 0;  // a transaction gets no answer and is carried out 2 to 12 s later, after newer ones
-  double slow_state_s = 0;  // the state service answers so much later
+  double slow_state_s = 0;  // the key-value store answers so much later
 };
 
-// What the operators set about workers.
+// What the operators set about agents.
 struct Timing {
   double report_s = 1, lease_s = 10, cancel_s = 30;
 };
@@ -35,7 +35,7 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // Controllers that boot from now on are told of these limits of the state service.
+  // Controllers that boot from now on are told of these limits of the key-value store.
   void announce(const config::StateLimits& limits) { settings_.state_limits = limits; }
   void run(double seconds);
   void at(double seconds_from_now, std::function<void()> what);
@@ -51,13 +51,13 @@
   // A user asks one controller, once; the answer's status.
   void ask_once(std::size_t node, const std::string& method, const std::string& target,
                 const std::string& body, std::function<void(int, std::string)> done);
-  // The controller that owns most parts, as the state service has it.
+  // The controller that owns most partitions, as the key-value store has it.
   [[nodiscard]] std::size_t busiest() const;
   // Everything that has passed over the simulated sockets so far, with its time: equal for two builds that
   // behave alike. It is printed when the cluster ends, if FINCHRUN_TRAFFIC_DIGEST is set.
   [[nodiscard]] const TrafficDigest& traffic() const { return traffic_; }
-  // It hangs that long; orders that reach it are carried out when it goes on.
-  void hang(Worker& w, double for_s);
+  // It hangs that long; commands that reach it are carried out when it goes on.
+  void hang(Agent& w, double for_s);
 
   // Every broken rule, in words.
   std::vector<std::string> broken;
@@ -65,10 +65,10 @@
   StateService state;
   CloudService cloud;
   std::map<std::string, JobTruth> jobs;
-  std::map<std::string, Worker> workers;
+  std::map<std::string, Agent> agents;
   std::set<std::pair<std::size_t, std::string>>
       cut;                        // node can't reach (and isn't reached by) "state", "cloud", "peers", zone
-  std::set<std::size_t> refused;  // the state service answers 503 to these alone
+  std::set<std::size_t> refused;  // the key-value store answers 503 to these alone
   std::set<std::size_t> frozen;   // stand still while their clocks and the world go on
   // From then on every accepted job that is not cancelled must be answered about: see `check`.
   TimePoint troubles_over{};
@@ -92,9 +92,9 @@
   bool chance(double p);
   void boot(std::size_t node);
   void step();
-  void step_worker(Worker& w);
-  void send_report(Worker& w);
-  void start_task(Worker& w, Task& t);
+  void step_agent(Agent& w);
+  void send_report(Agent& w);
+  void start_task(Agent& w, Task& t);
   void user(const std::string& id, int tries);
   void poll(const std::string& id);
   void ask(std::size_t node, http::Request request, std::function<void(std::optional<http::Response>)> done,
@@ -106,7 +106,7 @@
   [[nodiscard]] bool reachable(std::size_t node, const config::Endpoint& to) const;
   void check();
   void check_waiting();
-  void check_scatter(const Worker& w, const Task& t);
+  void check_scatter(const Agent& w, const Task& t);
   void count_replicas();
   std::string enter(JobTruth truth);
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -28,7 +28,7 @@
     }
     std::vector<std::string> gone;
     for (const auto& [key, item] : items_)
-      if (item.hold == it->first) gone.push_back(key);
+      if (item.store_lease == it->first) gone.push_back(key);
     if (!gone.empty()) ++epoch_;
     for (const auto& key : gone) {
       items_.erase(key);
@@ -65,23 +65,24 @@
   for (const auto& c : o.at("when").as_array()) {
     const std::string key(c.at("k").as_string());
     const auto it = items_.find(key);
-    if ((it == items_.end() ? 0 : it->second.stamp) != whole(c.at("stamp"))) failed.emplace_back(key);
+    if ((it == items_.end() ? 0 : it->second.revision) != whole(c.at("stamp"))) failed.emplace_back(key);
   }
   if (!failed.empty()) return reply(409, {{"failed", failed}, {"epoch", epoch_}});
-  const auto& then = o.at("then").as_array();
-  if (then.size() > transaction_changes) return too_large("too many changes");
-  if (o.at("when").as_array().size() > 4 * transaction_changes) return too_large("too many conditions");
-  for (const auto& c : then)
-    if (const auto* hold = c.as_object().if_contains("hold"); hold && !holds_.contains(whole(*hold)))
+  const auto& writes = o.at("then").as_array();
+  if (writes.size() > transaction_writes) return too_large("too many changes");
+  if (o.at("when").as_array().size() > 4 * transaction_writes) return too_large("too many conditions");
+  for (const auto& c : writes)
+    if (const auto* store_lease = c.as_object().if_contains("hold");
+        store_lease && !holds_.contains(whole(*store_lease)))
       return reply(400, {{"error", "no such lease"}});
-  for (const auto& c : then)
+  for (const auto& c : writes)
     if (c.as_object().contains("set") && json::serialize(c.at("data")).size() > value_bytes)
       return too_large("value too large");
-  if (!then.empty()) ++epoch_;
-  for (const auto& c : then) {
+  if (!writes.empty()) ++epoch_;
+  for (const auto& c : writes) {
     if (const auto* key = c.as_object().if_contains("set")) {
-      const auto* hold = c.as_object().if_contains("hold");
-      items_[std::string(key->as_string())] = {c.at("data"), epoch_, hold ? whole(*hold) : 0};
+      const auto* store_lease = c.as_object().if_contains("hold");
+      items_[std::string(key->as_string())] = {c.at("data"), epoch_, store_lease ? whole(*store_lease) : 0};
       log_.push_back({epoch_, std::string(key->as_string()), c.at("data")});
     } else {
       items_.erase(std::string(c.at("delete").as_string()));
@@ -99,14 +100,14 @@
   if (target == "/commit") return commit(json::parse(body).as_object());
   if (target.starts_with("/follow")) {
     const auto from = std::stoull(query(target, "from"));
-    if (!log_.empty() && log_.size() >= 400 && from + 1 < log_.front().stamp) return {410, "{}"};
+    if (!log_.empty() && log_.size() >= 400 && from + 1 < log_.front().revision) return {410, "{}"};
     json::array events;
     for (const auto& e : log_) {
-      if (e.stamp <= from) continue;
+      if (e.revision <= from) continue;
       if (e.value) {
-        events.push_back(json::object{{"set", e.key}, {"data", *e.value}, {"stamp", e.stamp}});
+        events.push_back(json::object{{"set", e.key}, {"data", *e.value}, {"stamp", e.revision}});
       } else {
-        events.push_back(json::object{{"delete", e.key}, {"stamp", e.stamp}});
+        events.push_back(json::object{{"delete", e.key}, {"stamp", e.revision}});
       }
     }
     return reply(200, {{"epoch", epoch_}, {"events", events}});
@@ -122,7 +123,7 @@
         break;
       }
       items.push_back(
-          json::object{{"k", it->first}, {"data", it->second.value}, {"stamp", it->second.stamp}});
+          json::object{{"k", it->first}, {"data", it->second.value}, {"stamp", it->second.revision}});
     }
     return reply(200, {{"items", items}, {"hasNext", more}, {"epoch", epoch_}});
   }
@@ -140,7 +141,7 @@
   return {400, "{}"};
 }
 
-json::object Worker::report() {
+json::object Agent::heartbeat() {
   json::array pieces;
   for (const auto& [key, t] : tasks) {
     json::object p{
@@ -151,13 +152,14 @@
     }
     pieces.push_back(p);
   }
-  return {{"perch", name},       {"endpoint", endpoint}, {"rack", type},  {"hall", zone},
-          {"loaners", spot},     {"stint", session},     {"tick", ++seq}, {"baton", token},
-          {"warningS", nullptr}, {"pieces", pieces}};
+  return {{"perch", name},      {"endpoint", endpoint},   {"rack", type},
+          {"hall", zone},       {"loaners", spot},        {"stint", agent_incarnation},
+          {"tick", ++sequence}, {"baton", fencing_token}, {"warningS", nullptr},
+          {"pieces", pieces}};
 }
 
-void Worker::execute(const json::array& orders, std::map<std::string, JobTruth>& jobs, TimePoint now) {
-  for (const auto& o : orders) {
+void Agent::execute(const json::array& commands, std::map<std::string, JobTruth>& jobs, TimePoint now) {
+  for (const auto& o : commands) {
     const std::string piece(o.at("piece").as_string());
     const auto slash = piece.rfind('/');
     const std::pair key{piece.substr(0, slash),
@@ -192,21 +194,21 @@
   }
 }
 
-Answer Worker::direct(const std::string& body, std::map<std::string, JobTruth>& jobs, TimePoint now) {
+Answer Agent::direct(const std::string& body, std::map<std::string, JobTruth>& jobs, TimePoint now) {
   const auto o = json::parse(body).as_object();
   const auto offered = whole(o.at("baton"));
-  if (offered < token) return reply(409, report());
-  if (offered > token) changed = true;
-  token = offered;
-  if (whole(o.at("stint")) != session) return reply(409, report());
+  if (offered < fencing_token) return reply(409, heartbeat());
+  if (offered > fencing_token) changed = true;
+  fencing_token = offered;
+  if (whole(o.at("stint")) != agent_incarnation) return reply(409, heartbeat());
   execute(o.at("orders").as_array(), jobs, now);
-  return reply(200, report());
+  return reply(200, heartbeat());
 }
 
-void Worker::expire(double lease_s, TimePoint now) {
+void Agent::expire(double lease_s, TimePoint now) {
   if (core::since(last_answered, now) <= lease_s) return;
   tasks.clear();
-  ++session;
+  ++agent_incarnation;
   last_answered = now;
   changed = true;
 }
--- a/tests/sim/services.hpp
+++ b/tests/sim/services.hpp
@@ -1,4 +1,4 @@
-// Stand-ins for the state service, the cloud and the workers, written from the protocol. They speak its
+// Stand-ins for the key-value store, the cloud and the agents, written from the protocol. They speak its
 // messages, so the controllers under test run their real clients.
 #pragma once
 
@@ -28,7 +28,7 @@
   Answer handle(http::Verb verb, const std::string& target, const std::string& body, TimePoint now);
   bool outage = false;
   // What it takes from now on; what is stored stays readable.
-  std::size_t value_bytes = 8192, transaction_changes = 16;
+  std::size_t value_bytes = 8192, transaction_writes = 16;
   std::size_t refused_for_size = 0;  // requests answered 400 for a limit
   // Outage over: every hold has its full time again.
   void recover(TimePoint now);
@@ -39,14 +39,14 @@
  private:
   struct Item {
     json::value value;
-    std::uint64_t stamp = 0, hold = 0;
+    std::uint64_t revision = 0, store_lease = 0;
   };
   struct Hold {
     TimePoint ends;
     double ttl_s = 0;
   };
   struct Logged {
-    std::uint64_t stamp;
+    std::uint64_t revision;
     std::string key;
     std::optional<json::value> value;
   };
@@ -89,25 +89,25 @@
   std::optional<TimePoint> told_cancelled;
 };
 
-class Worker {
+class Agent {
  public:
   std::string name, endpoint, type, zone;
   bool spot = false;
   bool dead = false, hanging = false;
-  bool mute = false;              // it reaches no controller; orders reach it
-  std::vector<std::string> held;  // orders that came while it hung
-  bool deaf = false;              // its reports arrive; answers and orders do not reach it
-  std::uint64_t session = 1, seq = 0, token = 0;
-  TimePoint last_answered{};  // when the last answered report was sent
+  bool mute = false;              // it reaches no controller; commands reach it
+  std::vector<std::string> held;  // commands that came while it hung
+  bool unreachable = false;       // its heartbeats arrive; answers and commands do not reach it
+  std::uint64_t agent_incarnation = 1, sequence = 0, fencing_token = 0;
+  TimePoint last_answered{};  // when the last answered heartbeat was sent
   std::map<std::pair<std::string, std::uint32_t>, Task> tasks;
-  std::size_t node = 0;  // which controller it reports to
+  std::size_t node = 0;  // which controller it heartbeats to
   bool in_flight = false;
   TimePoint next_report{};
   bool changed = false;
 
-  json::object report();
-  // Executes orders; `jobs` are what users have submitted.
-  void execute(const json::array& orders, std::map<std::string, JobTruth>& jobs, TimePoint now);
+  json::object heartbeat();
+  // Executes commands; `jobs` are what users have submitted.
+  void execute(const json::array& commands, std::map<std::string, JobTruth>& jobs, TimePoint now);
   Answer direct(const std::string& body, std::map<std::string, JobTruth>& jobs, TimePoint now);
   void expire(double lease_s, TimePoint now);
 };
--- a/tests/state/store_test.cpp
+++ b/tests/state/key_value_store_test.cpp
@@ -1,4 +1,4 @@
-#include "state/store.hpp"
+#include "state/key_value_store.hpp"
 
 #include <gtest/gtest.h>
 
@@ -46,66 +46,66 @@
 config::Settings settings(double write_rps, int txn_ops) {
   config::Settings s;
   s.nodes = 3;
-  s.state_limits.changes_per_s = write_rps;
-  s.state_limits.transaction_changes = txn_ops;
+  s.state_limits.writes_per_s = write_rps;
+  s.state_limits.transaction_writes = txn_ops;
   return s;
 }
 
 struct CommitCase {
   int status;
   const char* body;
-  Outcome outcome;
+  CommitStatus outcome;
 };
 class Commit : public testing::TestWithParam<CommitCase> {};
 TEST_P(Commit, AnswerMeans) {
   Scripted net;
-  Store store(net, settings(20, 16));
+  KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({GetParam().status, GetParam().body});
-  const auto result = run([&] { return store.commit(Txn{}); });
+  const auto result = run([&] { return store.commit(Transaction{}); });
   EXPECT_EQ(result.outcome, GetParam().outcome);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, Commit,
-    testing::Values(CommitCase{200, R"({"epoch":432})", Outcome::done},
-                    CommitCase{409, R"({"failed":["a/b"],"epoch":431})", Outcome::conflict},
-                    CommitCase{400, R"({"error":"no such lease"})", Outcome::no_hold},
-                    CommitCase{400, R"({"error":"value too large"})", Outcome::malformed},
-                    CommitCase{429, "", Outcome::refused}, CommitCase{503, "", Outcome::refused},
-                    CommitCase{0, "", Outcome::unknown}, CommitCase{500, "", Outcome::unknown},
-                    CommitCase{200, "<html>", Outcome::unknown},
-                    CommitCase{200, R"({"epoch":"x"})", Outcome::unknown},
-                    CommitCase{409, R"({"epoch":431})", Outcome::unknown}));
+    testing::Values(CommitCase{200, R"({"epoch":432})", CommitStatus::done},
+                    CommitCase{409, R"({"failed":["a/b"],"epoch":431})", CommitStatus::conflict},
+                    CommitCase{400, R"({"error":"no such lease"})", CommitStatus::lease_expired},
+                    CommitCase{400, R"({"error":"value too large"})", CommitStatus::malformed},
+                    CommitCase{429, "", CommitStatus::refused}, CommitCase{503, "", CommitStatus::refused},
+                    CommitCase{0, "", CommitStatus::unknown}, CommitCase{500, "", CommitStatus::unknown},
+                    CommitCase{200, "<html>", CommitStatus::unknown},
+                    CommitCase{200, R"({"epoch":"x"})", CommitStatus::unknown},
+                    CommitCase{409, R"({"epoch":431})", CommitStatus::unknown}));
 
 // Sent, it would be answered 400 again and again.
-TEST(Store, DoesNotSendWhatIsOverALimit) {
+TEST(KeyValueStore, DoesNotSendWhatIsOverALimit) {
   struct Case {
     std::size_t changes, bytes;
-    Outcome outcome;
+    CommitStatus outcome;
   };
-  for (const auto& c : {Case{5, 100, Outcome::done}, Case{6, 100, Outcome::too_large},
-                        Case{1, 2046, Outcome::done}, Case{1, 2047, Outcome::too_large}}) {
+  for (const auto& c : {Case{5, 100, CommitStatus::done}, Case{6, 100, CommitStatus::too_large},
+                        Case{1, 2046, CommitStatus::done}, Case{1, 2047, CommitStatus::too_large}}) {
     Scripted net;
     auto s = settings(20, 5);
     s.state_limits.value_kb = 2;
-    Store store(net, s);
+    KeyValueStore store(net, s);
     net.answers.push_back({200, R"({"epoch":432})"});
-    Txn txn;
+    Transaction txn;
     for (std::size_t i = 0; i < c.changes; ++i)
-      txn.then.push_back({"a/" + std::to_string(i), json::value(std::string(c.bytes, 'x'))});
+      txn.writes.push_back({"a/" + std::to_string(i), json::value(std::string(c.bytes, 'x'))});
     EXPECT_EQ(run([&] { return store.commit(std::move(txn)); }).outcome, c.outcome)
         << c.changes << " " << c.bytes;
-    EXPECT_EQ(net.asked.size(), c.outcome == Outcome::done ? 1u : 0u);
+    EXPECT_EQ(net.asked.size(), c.outcome == CommitStatus::done ? 1u : 0u);
   }
 }
 
-TEST(Store, WritesATransactionAsTheProtocolSays) {
+TEST(KeyValueStore, WritesATransactionAsTheProtocolSays) {
   Scripted net;
-  Store store(net, settings(20, 16));
+  KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({200, R"({"epoch":432})"});
-  Txn txn;
-  txn.when.push_back({"a/b", 0});
-  txn.then.push_back({"a/b", json::object{{"x", 1}}, 7});
-  txn.then.push_back({"c/\"d", std::nullopt});
+  Transaction txn;
+  txn.compares.push_back({"a/b", 0});
+  txn.writes.push_back({"a/b", json::object{{"x", 1}}, 7});
+  txn.writes.push_back({"c/\"d", std::nullopt});
   run([&] { return store.commit(std::move(txn)); });
   ASSERT_EQ(net.bodies.size(), 1u);
   EXPECT_EQ(json::parse(net.bodies[0]), json::parse(R"({"when":[{"k":"a/b","stamp":0}],
@@ -115,13 +115,13 @@
 struct ChangesCase {
   int status;
   const char* body;
-  Changes::Kind kind;
+  ChangesResult::Kind kind;
   std::size_t events;
 };
 class ReadChanges : public testing::TestWithParam<ChangesCase> {};
 TEST_P(ReadChanges, AnswerMeans) {
   Scripted net;
-  Store store(net, settings(20, 16));
+  KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({GetParam().status, GetParam().body});
   const auto result = run([&] { return store.changes(7); });
   EXPECT_EQ(result.kind, GetParam().kind);
@@ -133,43 +133,44 @@
         ChangesCase{
             200,
             R"({"epoch":433,"events":[{"set":"c/9","data":{},"stamp":433},{"delete":"c/d","stamp":432}]})",
-            Changes::Kind::ok, 2},
-        ChangesCase{200, R"({"epoch":433,"events":[]})", Changes::Kind::ok, 0},
-        ChangesCase{410, "", Changes::Kind::too_old, 0}, ChangesCase{503, "", Changes::Kind::failed, 0},
-        ChangesCase{200, R"({"epoch":433,"events":[{"set":3}]})", Changes::Kind::failed, 0},
-        ChangesCase{0, "", Changes::Kind::failed, 0}));
+            ChangesResult::Kind::ok, 2},
+        ChangesCase{200, R"({"epoch":433,"events":[]})", ChangesResult::Kind::ok, 0},
+        ChangesCase{410, "", ChangesResult::Kind::too_old, 0},
+        ChangesCase{503, "", ChangesResult::Kind::failed, 0},
+        ChangesCase{200, R"({"epoch":433,"events":[{"set":3}]})", ChangesResult::Kind::failed, 0},
+        ChangesCase{0, "", ChangesResult::Kind::failed, 0}));
 
 // A round once made transactions larger than the budget could ever grant, and nothing was placed any more.
 TEST(WriteBudget, LargestTransactionCanBeSpent) {
   for (const double rps : {5.0, 20.0, 50.0}) {
     Scripted net;
-    Store store(net, settings(rps, 16));
-    EXPECT_LE(store.most_changes(), 16u);
-    EXPECT_TRUE(store.spend(static_cast<int>(store.most_changes()), Store::For::records)) << rps;
+    KeyValueStore store(net, settings(rps, 16));
+    EXPECT_LE(store.max_writes(), 16u);
+    EXPECT_TRUE(store.spend(static_cast<int>(store.max_writes()), KeyValueStore::For::records)) << rps;
   }
 }
 
-// Five controllers, two of them owners: together they ask for little more than the service grants, the owners
-// can write a round's shards at once, and records never take what a submission needs.
+// Five controllers, two of them leaders: together they ask for little more than the service grants, the
+// leaders can write a round's shards at once, and records never take what a submission needs.
 TEST(WriteBudget, IsSharedByWhoOwnsParts) {
   for (const double rps : {20.0, 50.0}) {
     Scripted net;
-    Store owner(net, settings(rps, 16)), other(net, settings(rps, 16));
-    owner.use_share_of_writes(1.0 / 2);
+    KeyValueStore leader(net, settings(rps, 16)), other(net, settings(rps, 16));
+    leader.use_share_of_writes(1.0 / 2);
     other.use_share_of_writes(0.25 / 3);
-    EXPECT_TRUE(owner.spend(6, Store::For::records)) << rps;
-    while (owner.spend(1, Store::For::records)) continue;
-    EXPECT_TRUE(owner.spend(2, Store::For::users)) << rps;
+    EXPECT_TRUE(leader.spend(6, KeyValueStore::For::records)) << rps;
+    while (leader.spend(1, KeyValueStore::For::records)) continue;
+    EXPECT_TRUE(leader.spend(2, KeyValueStore::For::users)) << rps;
     int n = 0;
-    while (other.spend(1, Store::For::users)) ++n;
+    while (other.spend(1, KeyValueStore::For::users)) ++n;
     EXPECT_GE(n, 4) << "submissions that come together";
     EXPECT_LE(n, rps / 4);
   }
 }
 
-TEST(Budget, KeepsTheReserveAndRefills) {
+TEST(RateLimiter, KeepsTheReserveAndRefills) {
   const auto t0 = core::TimePoint(core::secs(100));
-  Budget b(10, 10, t0);
+  RateLimiter b(10, 10, t0);
   EXPECT_FALSE(b.take(9, 0.2, t0));
   EXPECT_TRUE(b.take(8, 0.2, t0));
   EXPECT_FALSE(b.take(1, 0.2, t0));
--- a/tests/wire/messages_test.cpp
+++ b/tests/wire/messages_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_DOUBLE_EQ(s.spec.need.ram_gb, 64.0);
   EXPECT_EQ(s.types->front(), "g8");
   EXPECT_FALSE(s.zone);
-  EXPECT_EQ(s.spec.due_s, 900.0);
+  EXPECT_EQ(s.spec.deadline_s, 900.0);
 }
 
 struct BadField {
@@ -72,7 +72,7 @@
     const auto& spec = std::get<Submission>(parsed).spec;
     EXPECT_TRUE(spec.standing());
     EXPECT_FALSE(spec.gang());
-    EXPECT_EQ(spec.expect_s, jobs::kNoEnd);
+    EXPECT_EQ(spec.expected_run_s, jobs::kNoEnd);
   }
 }
 
@@ -97,7 +97,7 @@
 class BadBody : public testing::TestWithParam<const char*> {};
 TEST_P(BadBody, IsMalformedForUsersAndWorkers) {
   EXPECT_TRUE(std::holds_alternative<Malformed>(parse_submission(GetParam())));
-  EXPECT_TRUE(std::holds_alternative<Malformed>(parse_report(GetParam())));
+  EXPECT_TRUE(std::holds_alternative<Malformed>(parse_heartbeat(GetParam())));
 }
 INSTANTIATE_TEST_SUITE_P(Table, BadBody,
                          testing::Values("", "{", "[]", "3", "null", "{} x", "{\"a\":1e999}"));
@@ -109,30 +109,30 @@
   auto parsed = parse_submission(json::serialize(o));
   ASSERT_TRUE(std::holds_alternative<Submission>(parsed));
   EXPECT_FALSE(std::get<Submission>(parsed).types);
-  EXPECT_FALSE(std::get<Submission>(parsed).spec.due_s);
+  EXPECT_FALSE(std::get<Submission>(parsed).spec.deadline_s);
 }
 
-TEST(Report, ReadsPieces) {
-  auto parsed = parse_report(R"({"perch":"host-000231","endpoint":"10.1.0.232:9000","rack":"g8","hall":"a",
+TEST(Heartbeat, ReadsPieces) {
+  auto parsed = parse_heartbeat(R"({"perch":"host-000231","endpoint":"10.1.0.232:9000","rack":"g8","hall":"a",
     "loaners":true,"stint":1,"tick":88,"baton":41,"warningS":12.5,"pieces":[
     {"piece":"req-000412/3","try":2,"status":"running"},
     {"piece":"req-000398/0","try":1,"status":"ended","cause":"halted","stored":true}]})");
-  ASSERT_TRUE(std::holds_alternative<Report>(parsed));
-  const auto& r = std::get<Report>(parsed);
-  EXPECT_EQ(r.token, 41u);
-  EXPECT_EQ(r.notice_s, 12.5);
-  ASSERT_EQ(r.pieces.size(), 2u);
-  EXPECT_EQ(r.pieces[0].task, 3u);
-  EXPECT_EQ(r.pieces[0].state, TaskState::running);
-  EXPECT_EQ(r.pieces[1].cause, Cause::stopped);
-  EXPECT_TRUE(r.pieces[1].saved);
+  ASSERT_TRUE(std::holds_alternative<Heartbeat>(parsed));
+  const auto& r = std::get<Heartbeat>(parsed);
+  EXPECT_EQ(r.fencing_token, 41u);
+  EXPECT_EQ(r.termination_notice_s, 12.5);
+  ASSERT_EQ(r.tasks.size(), 2u);
+  EXPECT_EQ(r.tasks[0].task, 3u);
+  EXPECT_EQ(r.tasks[0].state, TaskState::running);
+  EXPECT_EQ(r.tasks[1].cause, ExitCause::stopped);
+  EXPECT_TRUE(r.tasks[1].saved);
 }
 
 TEST(Orders, AreWrittenAsTheProtocolSays) {
-  const std::vector<Order> orders{{Order::Kind::start, "req-1", 4, 2, 0},
-                                  {Order::Kind::stop, "req-2", 1, 1, 10},
-                                  {Order::Kind::forget, "req-3", 0, 1, 0}};
-  const auto v = json::parse(render_orders(41, orders));
+  const std::vector<Command> commands{{Command::Kind::start, "req-1", 4, 2, 0},
+                                      {Command::Kind::stop, "req-2", 1, 1, 10},
+                                      {Command::Kind::forget, "req-3", 0, 1, 0}};
+  const auto v = json::parse(render_commands(41, commands));
   EXPECT_EQ(v, json::parse(R"({"baton":41,"orders":[{"verb":"run","piece":"req-1/4","try":2},
     {"verb":"kill","piece":"req-2/1","try":1,"leewayS":10.0},{"verb":"reap","piece":"req-3/0","try":1}]})"));
 }
