--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -1,79 +1,69 @@
 #include "app/controller.hpp"
 
-#include <spdlog/spdlog.h>
-
-#include <boost/asio/co_spawn.hpp>
-#include <boost/asio/redirect_error.hpp>
-#include <boost/asio/use_awaitable.hpp>
-
 namespace finchrun::app {
-namespace {
-
-// A loop that throws is a bug; it is logged and the process ends rather than going on half alive.
-void ended(std::exception_ptr e) {
-  if (!e) return;
-  try {
-    std::rethrow_exception(e);
-  } catch (const std::exception& x) {
-    spdlog::critical("a loop ended: {}", x.what());
-  }
-  std::_Exit(3);
-}
-
-}  // namespace
 
-Controller::Controller(asio::io_context& io, http::Network& network, const config::Settings& s,
-                       const config::Tuning& t, std::uint32_t seed,
+Controller::Controller(asio::io_context& io, http::Network& network, const config::Settings& settings,
+                       const config::Tuning& tuning, std::uint32_t seed,
                        std::vector<std::unique_ptr<peer::Link>> links)
-    : io_(io),
-      network_(network),
-      settings_(s),
-      tuning_(t),
-      links_(std::move(links)),
-      peer_heard_(links_.size()),
-      peer_state_seen_(links_.size()),
-      store_(network, s, peer_relay()),
-      cloud_(network, s),
-      state_(s, t),
-      sync_wakeup_(io),
+    : settings_(settings),
+      tuning_(tuning),
+      runtime_(io, seed),
       writer_wakeup_(io),
-      random_(seed) {}
+      peers_(std::move(links)),
+      store_(network, settings_, std::make_unique<coordination::PeerRelay>(peers_)),
+      cloud_(network, settings_),
+      state_(settings_, tuning_),
+      follower_(runtime_, state_, store_, tuning_),
+      membership_(runtime_, state_, store_, follower_, settings_, tuning_),
+      leadership_(runtime_, state_, follower_),
+      commands_(runtime_, state_, network, writer_wakeup_),
+      cancellation_stops_(runtime_, state_, commands_),
+      agents_(state_, peers_, settings_, writer_wakeup_),
+      peer_service_(runtime_, state_, store_, peers_, settings_,
+                    [this](const std::string& heartbeat) { return agents_.handle_heartbeat(heartbeat); }),
+      jobs_(state_, store_, follower_, peers_, peer_service_),
+      router_(jobs_, agents_),
+      placement_recorder_(state_, store_, follower_, commands_, runtime_),
+      exit_recorder_(state_, store_, follower_),
+      preemptor_(runtime_, state_, commands_, tuning_),
+      quota_sharing_(state_, store_, follower_, placement_recorder_),
+      round_(state_, placement_recorder_, preemptor_, quota_sharing_, settings_, tuning_),
+      rebalancer_(state_, store_, follower_),
+      usage_recorder_(state_, store_, follower_),
+      partition_writer_(runtime_, state_, store_, writer_wakeup_, round_, exit_recorder_, rebalancer_,
+                        usage_recorder_, tuning_),
+      autoscaler_(runtime_, state_, cloud_, round_.backlog()) {}
 
 void Controller::listen() {
+  // Sockets that are kept for connections of our own: to the store, the cloud, agents and other controllers.
   const int reserve = 60 + 2 * static_cast<int>(settings_.members.size());
-  asio::co_spawn(io_,
-                 http::serve(
-                     settings_.listen, [this](http::Request r) { return handle(std::move(r)); },
-                     std::max(16, settings_.max_sockets - reserve)),
-                 ended);
-  asio::co_spawn(
-      io_,
-      peer::serve(
-          settings_.peer_listen, [this](std::string frame) { return handle_peer(std::move(frame)); },
-          20 * static_cast<int>(settings_.members.size() + 1)),
-      ended);
+  constexpr int kLeastConnections = 16;
+  runtime_.run_forever(http::serve(
+      settings_.listen, [this](http::Request request) { return handle(std::move(request)); },
+      std::max(kLeastConnections, settings_.max_sockets - reserve)));
+  constexpr int kConnectionsPerPeer = 20;
+  runtime_.run_forever(peer::serve(
+      settings_.peer_listen, [this](std::string frame) { return handle_peer(std::move(frame)); },
+      kConnectionsPerPeer * static_cast<int>(settings_.members.size() + 1)));
 }
 
 void Controller::start() {
-  if (!links_.empty()) asio::co_spawn(io_, peer_loop(), ended);
-  asio::co_spawn(io_, member_loop(), ended);
-  asio::co_spawn(io_, follow_changes_loop(), ended);
-  asio::co_spawn(io_, leadership_loop(), ended);
-  asio::co_spawn(io_, probe_loop(), ended);
-  asio::co_spawn(io_, stop_loop(), ended);
-  asio::co_spawn(io_, writer_loop(), ended);
-  asio::co_spawn(io_, cloud_loop(), ended);
+  if (!peers_.empty()) runtime_.run_forever(peer_service_.run());
+  runtime_.run_forever(membership_.run());
+  runtime_.run_forever(follower_.run());
+  runtime_.run_forever(leadership_.run());
+  runtime_.run_forever(commands_.run_probes());
+  runtime_.run_forever(cancellation_stops_.run());
+  runtime_.run_forever(partition_writer_.run());
+  runtime_.run_forever(autoscaler_.run());
 }
 
-core::Steady::duration Controller::jitter(double seconds) {
-  std::uniform_real_distribution<double> spread(0.8, 1.2);
-  return core::secs(seconds * spread(random_));
+asio::awaitable<http::Response> Controller::handle(http::Request request) {
+  return router_.handle(std::move(request));
 }
 
-asio::awaitable<void> Controller::sleep(double seconds) {
-  core::Timer timer(io_, jitter(seconds));
-  boost::system::error_code ec;
-  co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+asio::awaitable<std::string> Controller::handle_peer(std::string frame) {
+  return peer_service_.handle(std::move(frame));
 }
 
 }  // namespace finchrun::app
--- a/src/app/assignment_writer.cpp
+++ b/src/assignments/assignment_writer.cpp
@@ -1,8 +1,8 @@
-#include "app/assignment_writer.hpp"
+#include "assignments/assignment_writer.hpp"
 
 #include <algorithm>
 
-namespace finchrun::app {
+namespace finchrun::assignments {
 
 namespace json = boost::json;
 
@@ -48,7 +48,7 @@
     if (shard && !w.cache.shard(*shard).needs_tombstones()) continue;
     tombstones_.emplace(name, jobs);
     tombstone_bytes_ += frame_of(name);
-    for (const auto& [id, items] : jobs) tombstone_bytes_ += app::bytes_of(w, id, items);
+    for (const auto& [id, items] : jobs) tombstone_bytes_ += assignments::bytes_of(w, id, items);
   }
   tombstones_too_long_ = tombstone_bytes_ > max_bytes_;
   // While items that nobody needs stand in the store, nothing of their jobs may leave its shard unnoticed.
@@ -85,7 +85,7 @@
   const auto noted = tombstones_.find(shard);
   if (noted == tombstones_.end()) return;
   tombstone_bytes_ -= frame_of(shard);
-  for (const auto& [job, items] : noted->second) tombstone_bytes_ -= app::bytes_of(w_, job, items);
+  for (const auto& [job, items] : noted->second) tombstone_bytes_ -= assignments::bytes_of(w_, job, items);
   tombstones_.erase(noted);
   tombstones_changed_ = true;
 }
@@ -243,7 +243,7 @@
     state::apply_tombstones(open_.at(shard).jobs[id], {item});
     return true;
   }
-  const auto more = app::bytes_of(w_, id, {item}) + frame_of(shard);
+  const auto more = assignments::bytes_of(w_, id, {item}) + frame_of(shard);
   if (tombstone_bytes_ + more > max_bytes_) {
     // As it is written, what stands here of it goes.
     std::string longest = shard;
@@ -259,7 +259,7 @@
   }
   if (!tombstones_.contains(shard)) tombstone_bytes_ += frame_of(shard);
   auto& items = tombstones_[shard][id];
-  tombstone_bytes_ += items.empty() ? app::bytes_of(w_, id, {item}) : app::bytes_of(item);
+  tombstone_bytes_ += items.empty() ? assignments::bytes_of(w_, id, {item}) : assignments::bytes_of(item);
   items.push_back(item);
   tombstones_changed_ = true;
   return true;
@@ -316,4 +316,4 @@
   return out;
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/src/app/assignment_writer.hpp
+++ b/src/assignments/assignment_writer.hpp
@@ -8,17 +8,19 @@
 #include <vector>
 
 #include "agent/fleet.hpp"
-#include "app/controller_state.hpp"
-#include "app/shard_split.hpp"
+#include "assignments/shard_split.hpp"
+#include "controller/controller_state.hpp"
 #include "state/key_value_store.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
+
+using controller::ControllerState;
 
 // One transaction, and what follows once it is durable.
 struct PlannedTransaction {
   std::vector<state::Compare> compares;
   std::vector<state::Write> writes;
-  std::vector<std::string> log;                                 // told then
+  std::vector<std::string> log;                                       // told then
   std::map<core::MachineId, std::vector<agent::TaskAttempt>> starts;  // that may leave then
 
   void require(const std::string& key, std::uint64_t revision);  // once for each key
@@ -90,4 +92,4 @@
 
 jobs::JobRecord finished(const jobs::JobRecord& job);
 
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/src/app/records.cpp
+++ b/src/assignments/exit_recorder.cpp
@@ -1,9 +1,9 @@
-// Facts from heartbeats become records: what has ended, what is done, which jobs are over.
+#include "assignments/exit_recorder.hpp"
+
 #include <spdlog/spdlog.h>
 
-#include "app/controller.hpp"
+namespace finchrun::assignments {
 
-namespace finchrun::app {
 namespace {
 
 using state::CommitStatus;
@@ -15,16 +15,15 @@
   e.log.push_back(fmt::format("job done id={}", w.names.jobs.name(id)));
 }
 
-}  // namespace
-
-bool Controller::records_fit(const ControllerState& w, core::PartitionId partition) {
+// Everything recorded of the partition is within the limits on values.
+bool records_fit(const ControllerState& w, core::PartitionId partition) {
   const AssignmentWriter writer(w, partition);
   const auto shards = w.cache.shards(partition);
   return !writer.tombstones_too_long() &&
          std::all_of(shards.begin(), shards.end(), [&](core::ShardId id) { return writer.fits(id); });
 }
 
-PlannedTransaction Controller::record_exits_of(const ControllerState& w, core::PartitionId partition) {
+PlannedTransaction record_exits_of(const ControllerState& w, core::PartitionId partition) {
   PlannedTransaction e;
   // Some changes are left to the jobs that are done with this.
   const auto max_writes = w.settings.state_limits.max_writes();
@@ -51,7 +50,7 @@
 }
 
 // What was written under larger limits is brought within those that hold now or may hold from any moment on.
-PlannedTransaction Controller::shrink_partition(const ControllerState& w, core::PartitionId partition) {
+PlannedTransaction shrink_partition(const ControllerState& w, core::PartitionId partition) {
   PlannedTransaction e;
   AssignmentWriter writer(w, partition);
   if (!writer.shrink()) return e;
@@ -61,7 +60,9 @@
   return e;
 }
 
-asio::awaitable<void> Controller::flush() {
+}  // namespace
+
+asio::awaitable<void> ExitRecorder::flush() {
   std::vector<PlannedTransaction> edits;
   state_.with([&](ControllerState& w) {
     if (!w.loaded) return;  // while it is read anew, nothing is known to be ours, and facts would be dropped
@@ -78,15 +79,15 @@
     if (!store_.spend(static_cast<int>(e.writes.size()), state::KeyValueStore::For::records))
       co_return;  // the rest in the next flush
     state::Transaction txn{e.compares, std::move(e.writes)};
-    const auto result = co_await commit(std::move(txn));
+    const auto result = co_await follower_.commit(std::move(txn));
     if (result.outcome == CommitStatus::done) {
       for (const auto& line : e.log) spdlog::info("{}", line);
       continue;
     }
     // Facts stay, so the next flush tries again on what the next sync shows.
-    sync_wakeup_.cancel();
+    follower_.wake();
     if (result.outcome != CommitStatus::conflict) co_return;
   }
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/src/app/shard_split.cpp
+++ b/src/assignments/shard_split.cpp
@@ -1,6 +1,6 @@
-#include "app/shard_split.hpp"
+#include "assignments/shard_split.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
 namespace {
 
 // Fills one shard after the other.
@@ -90,4 +90,4 @@
   return shards;
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/src/app/shard_split.hpp
+++ b/src/assignments/shard_split.hpp
@@ -8,7 +8,7 @@
 
 #include "jobs/job.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
 
 // What one shard holds, by job.
 using ShardContents = std::map<core::JobId, jobs::JobAssignments>;
@@ -27,4 +27,4 @@
 std::optional<std::vector<ShardContents>> split_shard(const ShardContents& contents, const SplitRules& rules,
                                                       const jobs::Names& names);
 
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/src/app/cloud_loop.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -1,14 +1,15 @@
-// The cloud: machine types, the lagging list, machines that are gone, renting for the backlog, returning.
+#include "autoscaling/autoscaler.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <cmath>
 
-#include "app/controller.hpp"
-
-namespace finchrun::app {
+namespace finchrun::autoscaling {
 
 namespace {
 
+using controller::ControllerState;
+
 // A machine that has been starting for much longer than its type usually takes is not waited for any more:
 // the work is rented for elsewhere. If it comes up after all it is used, or given back when idle.
 bool is_boot_overdue(const agent::Machine& m, const cloud::MachineType& machine_type, core::TimePoint now) {
@@ -19,29 +20,29 @@
 
 }  // namespace
 
-asio::awaitable<void> Controller::cloud_loop() {
+asio::awaitable<void> Autoscaler::run() {
   core::TimePoint next_list{}, next_machine_types{}, next_scale_out{};
   while (true) {
     const auto now = core::Steady::now();
     if (now >= next_machine_types) {
       co_await refresh_machine_types();
       const bool known = state_.with([](ControllerState& w) { return !w.fleet.machine_types.empty(); });
-      next_machine_types = now + jitter(known ? 120 : 0.5);
+      next_machine_types = now + runtime_.jitter(known ? 120 : 0.5);
     }
     if (now >= next_list) {
-      next_list = now + jitter(std::max(2.0, cloud_.list_every_s()));
+      next_list = now + runtime_.jitter(std::max(2.0, cloud_.list_every_s()));
       co_await refresh_machines();
-      co_await return_machines();
+      co_await scale_in();
     }
     if (now >= next_scale_out) {
-      next_scale_out = now + jitter(1.0);
+      next_scale_out = now + runtime_.jitter(1.0);
       co_await scale_out();
     }
-    co_await sleep(0.25);
+    co_await runtime_.sleep(0.25);
   }
 }
 
-asio::awaitable<void> Controller::refresh_machine_types() {
+asio::awaitable<void> Autoscaler::refresh_machine_types() {
   auto machine_types = co_await cloud_.machine_types();
   if (!machine_types) co_return;
   state_.with([&](ControllerState& w) {
@@ -51,7 +52,7 @@
   });
 }
 
-asio::awaitable<void> Controller::refresh_machines() {
+asio::awaitable<void> Autoscaler::refresh_machines() {
   auto list = co_await cloud_.machines();
   if (!list) co_return;
   const auto now = core::Steady::now();
@@ -81,7 +82,7 @@
   });
 }
 
-asio::awaitable<void> Controller::return_machines() {
+asio::awaitable<void> Autoscaler::scale_in() {
   struct Return {
     core::MachineId id;
     std::string name;
@@ -125,7 +126,9 @@
       const double silent = w.silent_s(m, now);
       const auto& placed = w.cache.on_machine(id);
       const bool in_use = !placed.empty();
-      const double patience = cancelled(placed) ? 3 : unheard[m.partition.index] > heard[m.partition.index] ? 90 : 15;
+      const double patience = cancelled(placed)                                       ? 3
+                              : unheard[m.partition.index] > heard[m.partition.index] ? 90
+                                                                                      : 15;
       const char* why = nullptr;
       if (m.listed && m.status == "failed") why = "failed";
       // Silent and not listed: it is gone, and the answer to the deletion makes that certain.
@@ -172,16 +175,8 @@
   });
 }
 
-// What one kind of machine is wanted for.
-struct Controller::ScaleOutRequest {
-  std::string type, zone;
-  bool spot = false;
-  double machines = 0;
-  std::string slot;
-};
-
 // The cheapest kind for each job that can't be placed, among those not refused lately; added up by kind.
-std::vector<Controller::ScaleOutRequest> Controller::plan_scale_out(ControllerState& w, core::TimePoint now) {
+std::vector<ScaleOutRequest> Autoscaler::plan_scale_out(ControllerState& w, core::TimePoint now) {
   std::map<std::string, ScaleOutRequest> requests;
   const auto used = w.used_by_team();
   std::vector<sched::TeamQuota> teams;
@@ -231,8 +226,8 @@
     return false;
   };
   for (std::size_t i = 0; i < backlog_.size(); ++i) {
-    const auto& d = backlog_[i];
-    const auto partition = backlog_partition_[i];
+    const auto& d = backlog_[i].demand;
+    const auto partition = backlog_[i].partition;
     if (!w.leads(partition)) continue;
     auto left = d.gang ? static_cast<std::uint32_t>(d.tasks.size()) : d.count;
     auto& team = teams[d.team.index];
@@ -298,7 +293,7 @@
   return out;
 }
 
-asio::awaitable<void> Controller::scale_out() {
+asio::awaitable<void> Autoscaler::scale_out() {
   constexpr int kMostAtOnce = 50;  // the cloud's limit
   std::optional<ScaleOutRequest> requested;
   int count = 0;
@@ -320,10 +315,10 @@
   spdlog::info("hire type={} zone={} spot={} wanted={} got={} request={}", requested->type, requested->zone,
                requested->spot, count, answer.machines.size(), request);
   if (answer.kind == cloud::ScaleOutResult::Kind::no_capacity) {
-    no_capacity_until_[requested->slot] = now + jitter(15);
+    no_capacity_until_[requested->slot] = now + runtime_.jitter(15);
   } else if (answer.kind == cloud::ScaleOutResult::Kind::failed) {
     // Rented perhaps: such machines show up in the list and are used. Not asked again at once.
-    no_capacity_until_[requested->slot] = now + jitter(4);
+    no_capacity_until_[requested->slot] = now + runtime_.jitter(4);
   } else {
     state_.with([&](ControllerState& w) {
       for (const auto& name : answer.machines) {
@@ -337,8 +332,8 @@
       }
     });
     if (answer.machines.size() < static_cast<std::size_t>(count))
-      no_capacity_until_[requested->slot] = now + jitter(15);
+      no_capacity_until_[requested->slot] = now + runtime_.jitter(15);
   }
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::autoscaling
--- a/src/app/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -1,6 +1,6 @@
-#include "app/controller_state.hpp"
+#include "controller/controller_state.hpp"
 
-namespace finchrun::app {
+namespace finchrun::controller {
 namespace {
 
 jobs::Names names_for(const config::Settings& s) {
@@ -11,7 +11,8 @@
 
 }  // namespace
 
-ControllerState::ControllerState(const config::Settings& deployment_settings, const config::Tuning& operator_tuning)
+ControllerState::ControllerState(const config::Settings& deployment_settings,
+                                 const config::Tuning& operator_tuning)
     : settings(deployment_settings),
       tuning(operator_tuning),
       names(names_for(deployment_settings)),
@@ -62,7 +63,8 @@
   cache.each_run([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
     const auto* job = run.assignments.empty() ? nullptr : cache.job(id);
     if (!job || job->spec.team.index >= settings.teams.size()) return;
-    used[partition.index][job->spec.team.index] += job->spec.need * static_cast<double>(run.assignments.size());
+    used[partition.index][job->spec.team.index] +=
+        job->spec.need * static_cast<double>(run.assignments.size());
   });
   for (const auto& f : fleet.observed_exits) {
     // Reported as done and as gone: one assignment all the same.
@@ -144,9 +146,9 @@
                                              bool direct) {
   constexpr double kFresh = 2.0;
   const bool may_start = core::since(synchronized_at, now) < kFresh;
-  return agent::handle_heartbeat(
-      {names, cache, fleet, job_failures, fencing_token(m.partition), now, settings.lease_s, may_start, direct}, m,
-      r);
+  return agent::handle_heartbeat({names, cache, fleet, job_failures, fencing_token(m.partition), now,
+                                  settings.lease_s, may_start, direct},
+                                 m, r);
 }
 
 bool ControllerState::usable(const agent::Machine& m, core::TimePoint now) const {
@@ -157,4 +159,4 @@
              2.5 * settings.report_s + 1.0;
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::controller
--- a/src/app/controller_state.hpp
+++ b/src/controller/controller_state.hpp
@@ -9,13 +9,14 @@
 #include "agent/fleet.hpp"
 #include "agent/heartbeat_handler.hpp"
 #include "config/settings.hpp"
+#include "core/locked.hpp"
 #include "ledger/quota_shares.hpp"
 #include "ledger/usage.hpp"
 #include "membership/partition_map.hpp"
 #include "sched/place.hpp"
 #include "state/state_cache.hpp"
 
-namespace finchrun::app {
+namespace finchrun::controller {
 
 // What waits and what is free, part by partition: kept for a moment, since every submission asks.
 struct ClusterLoad {
@@ -146,4 +147,7 @@
   [[nodiscard]] bool usable(const agent::Machine& m, core::TimePoint now) const;
 };
 
-}  // namespace finchrun::app
+/// The state as the components share it: reached only under its lock, which no `co_await` can span.
+using SharedState = core::Locked<ControllerState>;
+
+}  // namespace finchrun::controller
--- /dev/null
+++ b/src/controller/runtime.hpp
@@ -0,0 +1,50 @@
+// What all components of a controller share to run: its event loop, its background coroutines and its random
+// pauses.
+#pragma once
+
+#include <boost/asio/awaitable.hpp>
+#include <boost/asio/io_context.hpp>
+#include <cstdint>
+#include <random>
+
+#include "core/clock.hpp"
+
+namespace finchrun::controller {
+
+namespace asio = boost::asio;
+
+/// The event loop of one controller. All coroutines of the process run on its single thread.
+class Runtime {
+ public:
+  Runtime(asio::io_context& io, std::uint32_t seed) : io_(io), random_(seed) {}
+
+  [[nodiscard]] asio::io_context& io() { return io_; }
+  /// About `seconds`, 20% more or less, so that controllers don't act in step.
+  [[nodiscard]] core::Steady::duration jitter(double seconds);
+  /// Waits for `jitter(seconds)`.
+  asio::awaitable<void> sleep(double seconds);
+  /// Starts a loop that lasts as long as the process: one that throws is a bug, and ends the process rather
+  /// than leaving it half alive.
+  void run_forever(asio::awaitable<void> loop);
+  /// Starts a task that ends by itself. An exception that leaves it is logged.
+  void spawn(asio::awaitable<void> task);
+
+ private:
+  asio::io_context& io_;
+  std::mt19937 random_;
+};
+
+/// Wakes the one coroutine that waits for it. A wake-up while nobody waits is lost.
+class Wakeup {
+ public:
+  explicit Wakeup(asio::io_context& io) : timer_(io) {}
+  /// Ends the wait that is under way, if any.
+  void notify() { timer_.cancel(); }
+  /// Waits until notified, `seconds` at most.
+  asio::awaitable<void> wait(double seconds);
+
+ private:
+  core::Timer timer_;
+};
+
+}  // namespace finchrun::controller
--- /dev/null
+++ b/src/coordination/peer_table.cpp
@@ -0,0 +1,54 @@
+#include "coordination/peer_table.hpp"
+
+#include "peer/messages.hpp"
+
+namespace finchrun::coordination {
+namespace {
+
+constexpr double kFreshStateS = 2.0;  // a peer whose view is older is no help
+constexpr int kServiceUnavailable = 503;
+
+// Made outside the coroutine: GCC 12 destroys aggregates twice that are temporaries of a co_await.
+std::string store_request_frame(bool post, const std::string& target, const std::string& body) {
+  return peer::encode(peer::StoreRequest{post, target, body});
+}
+
+}  // namespace
+
+void PeerTable::heard(std::size_t peer, core::TimePoint now, core::TimePoint state_seen_at) {
+  heard_at_.at(peer) = now;
+  state_seen_at_.at(peer) = std::max(state_seen_at_.at(peer), state_seen_at);
+}
+
+std::optional<std::size_t> PeerTable::in_touch_with_store() const {
+  const auto now = core::Steady::now();
+  for (std::size_t i = 0; i < links_.size(); ++i)
+    if (core::since(state_seen_at_[i], now) < kFreshStateS) return i;
+  return std::nullopt;
+}
+
+bool PeerTable::any_heard_within(double seconds, core::TimePoint now) const {
+  return std::any_of(heard_at_.begin(), heard_at_.end(),
+                     [&](core::TimePoint t) { return core::since(t, now) < seconds; });
+}
+
+asio::awaitable<http::Answer> PeerRelay::call(http::Verb verb, std::string target, std::string body,
+                                              std::chrono::milliseconds limit) {
+  const auto peer = peers_.in_touch_with_store();
+  if (!peer) {
+    http::Answer nobody;
+    nobody.status = kServiceUnavailable;
+    co_return nobody;
+  }
+  std::string request = store_request_frame(verb == http::Verb::post, target, body);
+  const auto frame = co_await peers_.link(*peer).call(std::move(request), limit);
+  co_return read_relayed_response(frame);
+}
+
+http::Answer read_relayed_response(const std::optional<std::string>& frame) {
+  const auto message = frame ? peer::decode(*frame) : std::nullopt;
+  const auto* reply = message ? std::get_if<peer::Reply>(&*message) : nullptr;
+  return reply ? http::Answer{reply->status, reply->body} : http::Answer{};
+}
+
+}  // namespace finchrun::coordination
--- a/src/app/worker_orders.cpp
+++ b/src/gateway/agent_commands.cpp
@@ -1,14 +1,13 @@
-// Commands that go straight to agents, and what their answers show.
-#include <spdlog/spdlog.h>
+#include "gateway/agent_commands.hpp"
 
-#include <boost/asio/co_spawn.hpp>
-#include <boost/asio/detached.hpp>
+#include <spdlog/spdlog.h>
 
-#include "app/controller.hpp"
+namespace finchrun::gateway {
 
-namespace finchrun::app {
 namespace {
 
+using controller::ControllerState;
+
 constexpr auto kCommandTimeout = std::chrono::milliseconds(3000);
 
 // Cut from its agents, a leader still has their heartbeats by way of others. Each start that it sent straight
@@ -21,18 +20,18 @@
 
 }  // namespace
 
-asio::awaitable<void> Controller::push(core::MachineId machine) {
+asio::awaitable<void> AgentCommands::probe(core::MachineId machine) {
   std::vector<wire::Command> nothing;
   // No commands: it only makes the agent see the fencing token, so that commands of earlier leaders are void,
   // and answer.
-  const auto result = co_await command(machine, nothing);
+  const auto result = co_await call(machine, nothing);
   // The incarnation was not known yet: the answer named it.
-  if (result.status == 409) co_await command(machine, nothing);
+  if (result.status == 409) co_await call(machine, nothing);
 }
 
-asio::awaitable<Controller::DirectCommandResult> Controller::command(
-    core::MachineId machine, const std::vector<wire::Command>& commands) {
-  DirectCommandResult result;
+asio::awaitable<AgentCommands::Result> AgentCommands::call(core::MachineId machine,
+                                                           const std::vector<wire::Command>& commands) {
+  Result result;
   std::string endpoint;
   std::uint64_t fencing_token = 0, agent_incarnation = 0;
   state_.with([&](ControllerState& w) {
@@ -68,12 +67,12 @@
     m->heard();
     return news;
   });
-  if (changed) writer_wakeup_.cancel();
+  if (changed) writer_wakeup_.notify();
   co_return result;
 }
 
-asio::awaitable<void> Controller::send(core::MachineId machine, std::vector<wire::Command> commands,
-                                       std::vector<agent::TaskAttempt> starts) {
+asio::awaitable<void> AgentCommands::send(core::MachineId machine, std::vector<wire::Command> commands,
+                                          std::vector<agent::TaskAttempt> starts) {
   const bool go = state_.with([&](ControllerState& w) {
     const auto* m = w.fleet.find(machine);
     if (!m || !m->has_heartbeat || !w.leads(m->partition)) return false;
@@ -102,7 +101,7 @@
     return !commands.empty();
   });
   if (!go) co_return;
-  const auto result = co_await command(machine, commands);
+  const auto result = co_await call(machine, commands);
   // No answer: the command may be carried out at any later time under this fencing token, so it stays noted.
   state_.with([&](ControllerState& w) {
     for (const auto& s : starts) {
@@ -114,9 +113,9 @@
   });
 }
 
-asio::awaitable<void> Controller::probe_loop() {
+asio::awaitable<void> AgentCommands::run_probes() {
   while (true) {
-    co_await sleep(0.3);
+    co_await runtime_.sleep(0.3);
     const auto now = core::Steady::now();
     constexpr std::size_t kMostAtOnce = 16;
     // Those who don't know our fencing token come first, then whoever was asked longest ago.
@@ -138,8 +137,8 @@
       if (behind.size() > kMostAtOnce) behind.resize(kMostAtOnce);
       for (const auto& [_, at, id] : behind) w.fleet.find(id)->last_probe = now;
     });
-    for (const auto& [_, at, id] : behind) asio::co_spawn(io_, push(id), asio::detached);
+    for (const auto& [_, at, id] : behind) runtime_.spawn(probe(id));
   }
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::gateway
--- /dev/null
+++ b/src/gateway/cancellation_stops.hpp
@@ -0,0 +1,31 @@
+// Stops the tasks of cancelled jobs by direct commands, whether or not the key-value store answers.
+#pragma once
+
+#include "controller/controller_state.hpp"
+#include "controller/runtime.hpp"
+#include "gateway/agent_commands.hpp"
+
+namespace finchrun::gateway {
+
+namespace asio = boost::asio;
+
+/// Sends stops for every task of a cancelled job that may still be on a machine, again with back-off until a
+/// heartbeat proves the task gone.
+class CancellationStops {
+ public:
+  CancellationStops(controller::Runtime& runtime, controller::SharedState& state, AgentCommands& commands)
+      : runtime_(runtime), state_(state), commands_(commands) {}
+
+  /// Runs until the process ends.
+  asio::awaitable<void> run();
+
+ private:
+  asio::awaitable<void> stop(core::MachineId machine, std::vector<wire::Command> commands);
+
+  controller::Runtime& runtime_;
+  controller::SharedState& state_;
+  AgentCommands& commands_;
+  std::size_t in_flight_ = 0;
+};
+
+}  // namespace finchrun::gateway
--- a/src/app/evictions.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,15 +1,13 @@
-// Stopping tasks: on machines that go away, and to make room that a job has a claim to; keeping room for
-// gangs.
-#include <spdlog/spdlog.h>
+#include "scheduling/preemption.hpp"
 
-#include <boost/asio/co_spawn.hpp>
-#include <boost/asio/detached.hpp>
+#include <spdlog/spdlog.h>
 
-#include "app/controller.hpp"
+namespace finchrun::scheduling {
 
-namespace finchrun::app {
 namespace {
 
+using controller::ControllerState;
+
 // Tasks of the partition that could be stopped, and what that would cost.
 std::vector<sched::RunningTask> running_in(const ControllerState& w, core::PartitionId partition,
                                            const std::set<core::JobId>& within, core::TimePoint now) {
@@ -50,7 +48,7 @@
 
 // Tasks on machines that the cloud is about to take save what they have and start again elsewhere; a gang as
 // a whole.
-void Controller::drain(ControllerState& w) {
+void evict_from_reclaimed_machines(ControllerState& w) {
   std::set<core::JobId> gangs;
   const auto stop = [&](core::JobId id, const jobs::JobSpec& spec, const jobs::TaskAssignment& e) {
     const double grace = spec.stop_grace_s();
@@ -79,57 +77,15 @@
   }
 }
 
-// Every few seconds a heartbeat asks what to do; on a machine that reaches nobody, none does. A stop sent
-// straight to the agent also follows a start that is held up on its way, under the same fencing token.
-asio::awaitable<void> Controller::stop_loop() {
-  constexpr std::size_t kMostInFlight = 32;  // to machines that don't answer: each holds a socket for seconds
-  constexpr double kFirstPause = 1, kLongestPause = 8;
-  while (true) {
-    co_await sleep(0.2);
-    const auto now = core::Steady::now();
-    std::map<core::MachineId, std::vector<wire::Command>> stops;
-    state_.with([&](ControllerState& w) {
-      std::erase_if(w.fleet.stop_retries, [&](const auto& item) {
-        return !w.cache.cancelled_with_tasks().contains(std::get<core::JobId>(item.first));
-      });
-      for (const auto id : w.cache.cancelled_with_tasks()) {
-        w.cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
-          if (!w.leads(partition)) return;
-          for (const auto& e : run.assignments) {
-            const auto* m = w.fleet.find(e.machine);
-            if (!m || !m->has_heartbeat || m->gone || w.fleet.ended(id, partition, e)) continue;
-            auto& again = w.fleet.stop_retries[{id, e.task, e.attempt}];
-            if (again.next > now) continue;
-            if (stops_in_flight_ + stops.size() >= kMostInFlight && !stops.contains(e.machine)) continue;
-            auto& commands = stops[e.machine];
-            if (commands.size() >= wire::kMaxCommands) continue;
-            again.next = now + jitter(std::min(kLongestPause, kFirstPause * (1 << std::min(again.tries, 4))));
-            ++again.tries;
-            commands.push_back({wire::Command::Kind::stop, w.names.jobs.name(id), e.task, e.attempt, 0});
-          }
-        });
-      }
-    });
-    for (auto& [machine, commands] : stops)
-      asio::co_spawn(io_, stop(machine, std::move(commands)), asio::detached);
-  }
-}
-
-asio::awaitable<void> Controller::stop(core::MachineId machine, std::vector<wire::Command> commands) {
-  ++stops_in_flight_;
-  co_await send(machine, std::move(commands), {});
-  --stops_in_flight_;
-}
-
-void Controller::preempt_and_reserve(core::PartitionId partition, const sched::Plan& plan,
-                                     std::vector<sched::Demand>& demands, const RoundView& view,
-                                     std::size_t machines, core::TimePoint now) {
+void Preemptor::make_room(core::PartitionId partition, const sched::Plan& plan,
+                          std::vector<sched::Demand>& demands, const RoundView& view, std::size_t machines,
+                          core::TimePoint now) {
   if (plan.unplaced.empty()) return;
   auto running = state_.with([&](ControllerState& w) { return running_in(w, partition, view.within, now); });
   const auto preemptions =
       sched::preempt(plan.nodes, demands, plan.unplaced, running, plan.teams, view.guarantees);
   for (const auto& e : preemptions) {
-    start_preemption(e, demands[e.demand], running, now);
+    start(e, demands[e.demand], running, now);
     demands[e.demand].has_reservation = true;
   }
   // What this round places runs there too: without it a machine that is being filled seems never to come
@@ -172,8 +128,8 @@
   });
 }
 
-void Controller::start_preemption(const sched::Preemption& e, const sched::Demand& d,
-                                  const std::vector<sched::RunningTask>& running, core::TimePoint now) {
+void Preemptor::start(const sched::Preemption& e, const sched::Demand& d,
+                      const std::vector<sched::RunningTask>& running, core::TimePoint now) {
   std::map<core::MachineId, std::vector<wire::Command>> stops;
   state_.with([&](ControllerState& w) {
     double longest = 0;
@@ -196,8 +152,7 @@
       m->reserved_until = now + core::secs(longest + 2 * w.settings.report_s + 4);
     }
   });
-  for (auto& [machine, commands] : stops)
-    asio::co_spawn(io_, send(machine, std::move(commands), {}), asio::detached);
+  for (auto& [machine, commands] : stops) runtime_.spawn(commands_.send(machine, std::move(commands), {}));
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::scheduling
--- a/src/app/ranges.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -1,22 +1,16 @@
-// Ranges: what the partitions offer to a job, and the move of what can't be placed to where there is room.
+#include "scheduling/rebalancer.hpp"
+
 #include <spdlog/spdlog.h>
 
-#include "app/controller.hpp"
-#include "app/waiting_tasks.hpp"
+#include "scheduling/cluster_load.hpp"
+
+namespace finchrun::scheduling {
 
-namespace finchrun::app {
 namespace {
 
+using controller::ControllerState;
 using state::CommitStatus;
 
-// A machine of which nothing is certain yet, or that is certain to be useless.
-bool worth_counting(const ControllerState& w, const agent::Machine& m, core::TimePoint now) {
-  if (m.quarantined || m.gone || m.terminating || m.termination_notice_s || !m.partition.valid())
-    return false;
-  if (w.leads(m.partition)) return w.usable(m, now);
-  return m.listed && m.status == "running";
-}
-
 // How many tasks of the job that zone may still take, by the ranges of its partitions: a task has no
 // assignment but in the part of its range, and one that moves has none at all, so what the ranges say covers
 // what runs.
@@ -52,56 +46,7 @@
 
 }  // namespace
 
-const ClusterLoad& current_load(ControllerState& w, core::TimePoint now) {
-  constexpr double kFresh = 0.5;  // every submission asks; nothing much changes in between
-  auto& load = w.load;
-  if (load.at != core::TimePoint{} && core::since(load.at, now) < kFresh) return load;
-  load = {};
-  load.at = now;
-  load.waiting.resize(w.partitions.size());
-  load.images.resize(w.partitions.size());
-  for (const auto id : w.cache.live()) {
-    const WaitingTasks tasks(w.cache, id);
-    if (!tasks.any()) continue;
-    const auto& job = *w.cache.job(id);
-    for (std::uint32_t p = 0; p < load.waiting.size(); ++p)
-      load.waiting[p] += job.spec.need * static_cast<double>(tasks.count(core::PartitionId{p}));
-  }
-  for (const auto& [id, m] : w.fleet.all()) {
-    if (!worth_counting(w, m, now)) continue;
-    const auto* machine_type = w.fleet.machine_type(m.type);
-    if (!machine_type) continue;
-    auto free = machine_type->size;
-    free -= w.used_on(id);
-    load.machines.push_back({m.partition, m.type, m.spot, machine_type->size, free});
-    for (const auto& [image, _] : m.images) load.images[m.partition.index].insert(image);
-  }
-  return load;
-}
-
-std::vector<sched::PartitionCapacity> partition_capacities(ControllerState& w, const jobs::JobSpec& spec,
-                                                           core::TimePoint now) {
-  const auto& load = current_load(w, now);
-  std::vector<sched::PartitionCapacity> rooms(w.partitions.size());
-  for (std::uint32_t p = 0; p < rooms.size(); ++p) {
-    rooms[p].partition = core::PartitionId{p};
-    rooms[p].zone = w.partitions.zone(core::PartitionId{p});
-    rooms[p].allowed = !spec.zone || *spec.zone == rooms[p].zone;
-    const auto& waiting = load.waiting[p];
-    if (spec.need.gpus > 0) rooms[p].backlog = std::max(rooms[p].backlog, waiting.gpus / spec.need.gpus);
-    if (spec.need.cpus > 0) rooms[p].backlog = std::max(rooms[p].backlog, waiting.cpus / spec.need.cpus);
-    rooms[p].has_image = load.images[p].contains(spec.image);
-  }
-  for (const auto& m : load.machines) {
-    if (!spec.allows_type(m.type) || (m.spot && !spec.spot)) continue;
-    auto& room = rooms[m.partition.index];
-    room.free += spec.need.times_in(m.free);
-    room.capacity += spec.need.times_in(m.size);
-  }
-  return rooms;
-}
-
-asio::awaitable<void> Controller::rebalance() {
+asio::awaitable<void> Rebalancer::rebalance(const Backlog& backlog) {
   // What can't be placed here goes where there is room for it: one job a round, so that views stay true.
   struct Move {
     state::Transaction txn;
@@ -113,9 +58,9 @@
     constexpr int kMostTries = 8;  // jobs looked at in one round
     int tries = 0;
     const auto used = w.used_by_team();
-    for (std::size_t i = 0; i < backlog_.size() && !move && tries < kMostTries; ++i) {
-      const auto& d = backlog_[i];
-      const auto partition = backlog_partition_[i];
+    for (std::size_t i = 0; i < backlog.size() && !move && tries < kMostTries; ++i) {
+      const auto& d = backlog[i].demand;
+      const auto partition = backlog[i].partition;
       const auto* job = w.cache.job(d.job);
       if (!w.leads(partition) || !job || job->status != jobs::Status::live || job->ranges.size() > 48)
         continue;
@@ -159,8 +104,8 @@
     }
   });
   if (!move || !store_.spend(1, state::KeyValueStore::For::records)) co_return;
-  const auto result = co_await commit(std::move(move->txn));
+  const auto result = co_await follower_.commit(std::move(move->txn));
   if (result.outcome == CommitStatus::done) spdlog::info("{}", move->text);
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::scheduling
--- a/src/app/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -1,6 +1,6 @@
-#include "app/waiting_tasks.hpp"
+#include "scheduling/waiting_tasks.hpp"
 
-namespace finchrun::app {
+namespace finchrun::scheduling {
 
 WaitingTasks::WaitingTasks(const state::StateCache& cache, core::JobId id) : job_(cache.job(id)) {
   const auto tasks = job_->spec.tasks;
@@ -38,4 +38,4 @@
   return out;
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::scheduling
--- a/src/app/waiting_tasks.hpp
+++ b/src/scheduling/waiting_tasks.hpp
@@ -7,7 +7,7 @@
 #include "core/ids.hpp"
 #include "state/state_cache.hpp"
 
-namespace finchrun::app {
+namespace finchrun::scheduling {
 
 class WaitingTasks {
  public:
@@ -25,4 +25,4 @@
   std::vector<bool> busy_;  // by task: done, or possibly on a machine
 };
 
-}  // namespace finchrun::app
+}  // namespace finchrun::scheduling
--- a/src/state/state_cache.hpp
+++ b/src/state/state_cache.hpp
@@ -169,7 +169,9 @@
   void each_run(core::JobId id, F&& f) const {
     for (const auto& p : shard_assignments(id)) f(p.partition, p.run);
   }
-  [[nodiscard]] const LeadershipRecord& leadership(core::PartitionId p) const { return leadership_.at(p.index); }
+  [[nodiscard]] const LeadershipRecord& leadership(core::PartitionId p) const {
+    return leadership_.at(p.index);
+  }
   [[nodiscard]] std::size_t partitions() const { return leadership_.size(); }
   [[nodiscard]] const Member* member(const std::string& label) const;
   [[nodiscard]] const std::unordered_map<std::string, Member>& members() const { return members_; }
--- a/tests/app/assignment_writer_test.cpp
+++ b/tests/assignments/assignment_writer_test.cpp
@@ -1,16 +1,18 @@
-#include "app/assignment_writer.hpp"
+#include "assignments/assignment_writer.hpp"
 
 #include <gtest/gtest.h>
 
-#include "app/single_partition.hpp"
-#include "app/waiting_tasks.hpp"
+#include "assignments/single_partition.hpp"
+#include "scheduling/waiting_tasks.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
+
+using scheduling::WaitingTasks;
 namespace {
 
 // A round of many jobs once cost a change for each job, and most of it was never recorded.
 TEST(AssignmentWriter, ManyJobsCostFewChanges) {
-  OnePart b;
+  SinglePartition b;
   std::vector<core::JobId> ids;
   for (int i = 0; i < 60; ++i) ids.push_back(b.job("req-" + std::to_string(i), 4, false));
   AssignmentWriter writer(b.w, b.partition);
@@ -30,7 +32,7 @@
 class ShardSize : public testing::TestWithParam<SizeCase> {};
 // However large the job: no value above the service's limit, nothing lost, and its ends still fit.
 TEST_P(ShardSize, StaysWithinTheLimitOnValues) {
-  OnePart b;
+  SinglePartition b;
   const auto id = b.job("req-1", GetParam().tasks, GetParam().gang);
   {
     AssignmentWriter writer(b.w, b.partition);
@@ -65,7 +67,7 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 TEST(AssignmentWriter, JobsThatAreOverLeaveTheShardsThatAreWritten) {
-  OnePart b;
+  SinglePartition b;
   const auto over = b.job("req-1", 1, false), live = b.job("req-2", 1, false);
   {
     AssignmentWriter writer(b.w, b.partition);
@@ -93,7 +95,7 @@
 }
 
 TEST(AssignmentWriter, IsConditionalOnTermFenceAndShards) {
-  OnePart b;
+  SinglePartition b;
   const auto id = b.job("req-1", 1, false);
   b.w.cache.apply({"fence/a.0", boost::json::value(1), 44});
   AssignmentWriter writer(b.w, b.partition);
@@ -108,7 +110,7 @@
 
 // Ends that touch many shards: each was rewritten for them, which took most of the budget of changes.
 TEST(AssignmentWriter, EndsAcrossAllShardsCostOneChange) {
-  OnePart b;
+  SinglePartition b;
   std::vector<core::JobId> ids;
   for (int i = 0; i < 40; ++i) {
     ids.push_back(b.job("req-" + std::to_string(i), 100, false));
@@ -145,8 +147,8 @@
 // An end is dropped only together with the shard that named its task; else the task would be back, and would
 // be started once more.
 TEST_P(Fold, NoEndedTaskComesBack) {
-  OnePart b;
-  ControllerState reader(one_part_settings(), {});  // another controller, fed by the changes alone
+  SinglePartition b;
+  ControllerState reader(single_partition_settings(), {});  // another controller, fed by the changes alone
   const auto id = b.job("req-1", 300, false);
   std::vector<state::KeyUpdate> all{{"jobs/req-1", jobs::to_json(*b.w.cache.job(id), b.w.names), b.revision}};
   const auto commit = [&](AssignmentWriter& writer) {
@@ -194,7 +196,7 @@
 
 // A late write of the ends must not undo a later one.
 TEST(AssignmentWriter, EndsAreConditionalOnThemselves) {
-  OnePart b;
+  SinglePartition b;
   const auto id = b.job("req-1", 4, false);
   {
     AssignmentWriter writer(b.w, b.partition);
@@ -220,7 +222,7 @@
 
 // A scale case: what a heartbeat and a round's choice of room look at follows the machine, not the fleet.
 TEST(Scale, AMachineIsFoundAmongThousands) {
-  OnePart b;
+  SinglePartition b;
   constexpr std::uint32_t kMachines = 2400;
   for (std::uint32_t i = 0; i < kMachines / 4; ++i) {
     const auto id = b.job("req-" + std::to_string(i), 8, false);
@@ -243,4 +245,4 @@
 }
 
 }  // namespace
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/tests/app/limits_test.cpp
+++ b/tests/assignments/limits_test.cpp
@@ -1,10 +1,12 @@
 // Records written under larger limits of the key-value store, and what is written under small ones.
 #include <gtest/gtest.h>
 
-#include "app/upgrade.hpp"
-#include "app/waiting_tasks.hpp"
+#include "assignments/upgrade.hpp"
+#include "scheduling/waiting_tasks.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
+
+using scheduling::WaitingTasks;
 namespace {
 
 struct LimitCase {
@@ -266,4 +268,4 @@
 }
 
 }  // namespace
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/tests/app/production_reader.hpp
+++ b/tests/assignments/production_reader.hpp
@@ -4,7 +4,7 @@
 
 #include "state/state_cache.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
 
 // Ends are taken into a shard for good when they are read, or when the shard is. So what it makes of a
 // transaction may depend on the order in which it is told of the keys.
@@ -60,4 +60,4 @@
   std::map<std::string, Items> tombstones_;
 };
 
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/tests/app/record_history_test.cpp
+++ b/tests/assignments/record_history_test.cpp
@@ -5,9 +5,9 @@
 
 #include <random>
 
-#include "app/upgrade.hpp"
+#include "assignments/upgrade.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
 namespace {
 
 struct HistoryCase {
@@ -66,7 +66,7 @@
     u_.job(job.name, job.tasks);
     jobs_.push_back(std::move(job));
   }
-  void place_some(OnePart& leader) {
+  void place_some(SinglePartition& leader) {
     AssignmentWriter writer(leader.w, leader.partition);
     const auto attempt = ++attempt_;
     for (int i = 0; i < 8; ++i) {
@@ -82,11 +82,11 @@
     }
     if (writer.touched() > 0) u_.commit(writer);
   }
-  static core::MachineId machine(OnePart& leader, std::uint32_t number) {
+  static core::MachineId machine(SinglePartition& leader, std::uint32_t number) {
     return leader.w.names.machines.intern("host-" + std::to_string(100000 + number));
   }
   // One in four is lost and waits again.
-  void end_some(OnePart& leader) {
+  void end_some(SinglePartition& leader) {
     AssignmentWriter writer(leader.w, leader.partition);
     for (auto& job : jobs_)
       for (auto it = job.placed.begin(); it != job.placed.end();) {
@@ -145,4 +145,4 @@
                          });
 
 }  // namespace
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/tests/app/single_partition.hpp
+++ b/tests/assignments/single_partition.hpp
@@ -3,11 +3,11 @@
 
 #include <gtest/gtest.h>
 
-#include "app/assignment_writer.hpp"
+#include "assignments/assignment_writer.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
 
-inline config::Settings one_part_settings() {
+inline config::Settings single_partition_settings() {
   config::Settings s;
   s.label = "perch-0";
   s.zone = "a";
@@ -17,8 +17,8 @@
 }
 
 // The part "a.0"; machines host-100000, host-100001, ...
-struct OnePart {
-  explicit OnePart(const config::Settings& s = one_part_settings()) : w(s, {}) {
+struct SinglePartition {
+  explicit SinglePartition(const config::Settings& s = single_partition_settings()) : w(s, {}) {
     w.loaded = true;
     w.incarnation = 7;
     w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
@@ -59,4 +59,4 @@
   return most;
 }
 
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/tests/app/upgrade.hpp
+++ b/tests/assignments/upgrade.hpp
@@ -4,10 +4,10 @@
 
 #include <memory>
 
-#include "app/production_reader.hpp"
-#include "app/single_partition.hpp"
+#include "assignments/production_reader.hpp"
+#include "assignments/single_partition.hpp"
 
-namespace finchrun::app {
+namespace finchrun::assignments {
 
 inline constexpr std::uint64_t kAttempt = 1234567;  // as long as they become in a few days
 
@@ -15,7 +15,7 @@
   explicit Upgrade(const config::StateLimits& limits) : Upgrade(with(limits)) {}
   explicit Upgrade(const config::Settings& settings) : after(settings) {}
   static config::Settings with(const config::StateLimits& limits) {
-    auto s = one_part_settings();
+    auto s = single_partition_settings();
     s.state_limits = limits;
     return s;
   }
@@ -47,7 +47,7 @@
   }
   // What a controller knows that starts now and reads the store.
   [[nodiscard]] std::unique_ptr<ControllerState> fresh_reader() const {
-    auto reader = std::make_unique<ControllerState>(one_part_settings(), config::Tuning{});
+    auto reader = std::make_unique<ControllerState>(single_partition_settings(), config::Tuning{});
     for (const auto& [_, e] : store) reader->cache.apply(e);
     return reader;
   }
@@ -59,7 +59,7 @@
     const auto id = *reader.names.jobs.find(name);
     return {reader.cache.done(id), reader.cache.placed(id)};
   }
-  OnePart before, after;
+  SinglePartition before, after;
   ProductionReader shards_first{before.w.names}, ends_first{before.w.names};
   std::map<std::string, state::KeyUpdate> store;
   std::uint64_t revision = 100;
@@ -67,4 +67,4 @@
   std::size_t largest_shard = 0;         // of all
 };
 
-}  // namespace finchrun::app
+}  // namespace finchrun::assignments
--- a/tests/app/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -1,16 +1,19 @@
-#include "app/controller_state.hpp"
+#include "controller/controller_state.hpp"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 
-#include "app/single_partition.hpp"
+#include "assignments/single_partition.hpp"
 
-namespace finchrun::app {
+namespace finchrun::controller {
+
+using assignments::single_partition_settings;
+using assignments::SinglePartition;
 namespace {
 
 config::Settings settings() {
-  auto s = one_part_settings();
+  auto s = single_partition_settings();
   s.teams = {{"red", 0, 0, 4, 8}};
   s.lease_s = 10;
   s.cancel_s = 30;
@@ -144,4 +147,4 @@
 }
 
 }  // namespace
-}  // namespace finchrun::app
+}  // namespace finchrun::controller
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -178,8 +178,8 @@
   std::vector<PartitionCapacity> partitions;
   std::vector<std::uint32_t> want;  // tasks by partition
 };
-class Deal : public testing::TestWithParam<DealCase> {};
-TEST_P(Deal, EveryTaskToOnePart) {
+class Distribute : public testing::TestWithParam<DealCase> {};
+TEST_P(Distribute, EveryTaskToSinglePartition) {
   const auto& c = GetParam();
   jobs::JobSpec spec;
   spec.tasks = c.tasks;
@@ -200,7 +200,7 @@
   return {PartitionId{partition}, ZoneId{partition}, true, free, backlog, capacity, false};
 }
 // No zone gets more replicas than it must while others have room.
-TEST(Deal, ReplicasAreSpreadEvenly) {
+TEST(Distribute, ReplicasAreSpreadEvenly) {
   struct Case {
     std::uint32_t replicas;
     std::vector<PartitionCapacity> partitions;
@@ -220,7 +220,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table, Deal,
+    Table, Distribute,
     testing::Values(DealCase{"gang to the roomiest", 2, true, false, {room(0, 1), room(1, 4)}, {0, 2}},
                     DealCase{"array over free room", 6, false, false, {room(0, 4), room(1, 2)}, {4, 2}},
                     DealCase{"backlog counts", 4, false, false, {room(0, 4, 4), room(1, 4)}, {0, 4}},
