--- a/src/state/key_value_store.cpp
+++ b/src/state/key_value_store.cpp
@@ -86,8 +86,8 @@
       renewals_(network.connect(s.state, 1)),
       peer_relay_(std::move(peer_relay)),
       limits_(s.state_limits),
-      requests_(share_of(limits_.requests_per_s, s.nodes),
-                share_of(limits_.requests_per_s, s.nodes) * 0.7, core::Steady::now()),
+      requests_(share_of(limits_.requests_per_s, s.nodes), share_of(limits_.requests_per_s, s.nodes) * 0.7,
+                core::Steady::now()),
       writes_(share_of(limits_.writes_per_s, s.nodes), share_of(limits_.writes_per_s, s.nodes),
               core::Steady::now()) {}
 
