--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -6,56 +6,75 @@
 
 namespace {
 
-namespace json = boost::json;
 using controller::ControllerState;
 
-state::Transaction member_txn(const std::string& label, std::uint64_t incarnation,
-                              std::uint64_t store_lease) {
-  state::Transaction txn;
-  txn.writes.push_back({state::keys::member(label),
-                        json::object{{"inc", incarnation}, {"level", state::kRecordLevel}}, store_lease});
-  return txn;
+constexpr double kJoinRetryS = 0.3;
+constexpr double kRenewalsInALease = 4;
+
+// Our label's earlier process is dead (each label runs once), so its member key is overwritten unseen.
+state::Transaction member_transaction(const std::string& label, std::uint64_t incarnation,
+                                      std::uint64_t store_lease) {
+  const state::Member member{incarnation, 0, state::kRecordLevel};
+  state::Transaction transaction;
+  transaction.writes.push_back({state::keys::member(label), state::encode(member), store_lease});
+  return transaction;
 }
 
 }  // namespace
 
+std::optional<std::string_view> membership_loss(const ControllerState& state, state::LeaseRenewal renewal) {
+  if (renewal == state::LeaseRenewal::expired) return "lease_expired";
+  // Only what the cache has read since the key was written says anything about it.
+  if (!state.loaded || state.cache.revision() < state.joined_revision) return std::nullopt;
+  const auto* member = state.cache.member(state.settings.label);
+  if (!member) return "member_key_gone";
+  if (member->incarnation != state.incarnation) return "member_key_of_another_process";
+  return std::nullopt;
+}
+
 asio::awaitable<bool> Membership::join() {
-  const auto store_lease = co_await store_.grant_lease(static_cast<int>(tuning_.member_ttl_s * 1000));
-  if (!store_lease) co_return false;
-  // The first hold's number names this process: the key-value store never gives it out again.
-  const auto incarnation =
-      state_.with([&](ControllerState& w) { return w.incarnation != 0 ? w.incarnation : *store_lease; });
-  // Our label's earlier process is dead (each label runs once), so its member key is overwritten unseen.
-  const auto result = co_await follower_.commit(member_txn(settings_.label, incarnation, *store_lease));
-  if (result.outcome != state::CommitStatus::done) co_return false;
-  state_.with([&](ControllerState& w) {
-    w.incarnation = incarnation;
-    w.store_lease = *store_lease;
-    w.joined_revision = result.revision;
+  const auto granted = co_await store_.grant_lease(static_cast<int>(tuning_.member_ttl_s * 1000));
+  if (const auto* error = std::get_if<state::StoreError>(&granted)) {
+    spdlog::debug("membership not joined label={} reason={}", settings_.label, name_of(*error));
+    co_return false;
+  }
+  const auto store_lease = std::get<std::uint64_t>(granted);
+  // The first store lease's number names this process: the key-value store never gives it out again.
+  const auto incarnation = state_.with(
+      [&](ControllerState& state) { return state.incarnation != 0 ? state.incarnation : store_lease; });
+  const auto result =
+      co_await follower_.commit(member_transaction(settings_.label, incarnation, store_lease));
+  if (result.outcome != state::CommitStatus::done) {
+    spdlog::debug("membership not joined label={} reason={}", settings_.label, name_of(result.outcome));
+    co_return false;
+  }
+  state_.with([&](ControllerState& state) {
+    state.incarnation = incarnation;
+    state.store_lease = store_lease;
+    state.joined_revision = result.revision;
   });
-  spdlog::info("member label={} incarnation={} hold={}", settings_.label, incarnation, *store_lease);
+  spdlog::info("membership joined label={} incarnation={} store_lease={}", settings_.label, incarnation,
+               store_lease);
   follower_.wake();
   co_return true;
 }
 
 asio::awaitable<void> Membership::run() {
   while (true) {
-    const auto store_lease = state_.with([](ControllerState& w) { return w.store_lease; });
+    const auto store_lease = state_.with([](ControllerState& state) { return state.store_lease; });
     if (store_lease == 0) {
-      if (!co_await join()) co_await runtime_.sleep(0.3);
+      if (!co_await join()) co_await runtime_.sleep(kJoinRetryS);
       continue;
     }
-    co_await runtime_.sleep(tuning_.member_ttl_s / 4);
-    const int status = co_await store_.renew_lease(store_lease);
-    // The key can be lost under a living lease: a late write of our label's earlier process took it along.
-    const bool listed = state_.with([&](ControllerState& w) {
-      const auto* me = w.cache.member(w.settings.label);
-      return !w.loaded || w.cache.revision() < w.joined_revision || (me && me->incarnation == w.incarnation);
+    co_await runtime_.sleep(tuning_.member_ttl_s / kRenewalsInALease);
+    const auto renewal = co_await store_.renew_lease(store_lease);
+    const auto loss = state_.with([&](ControllerState& state) {
+      const auto reason = membership_loss(state, renewal);
+      if (reason) state.store_lease = 0;
+      return reason;
     });
-    if (status == 404 || !listed) {
-      spdlog::warn("member hold={} has ended", store_lease);
-      state_.with([](ControllerState& w) { w.store_lease = 0; });
-    }
+    if (loss)
+      spdlog::warn("membership lost label={} store_lease={} reason={}", settings_.label, store_lease, *loss);
   }
 }
 
--- a/src/coordination/membership.hpp
+++ b/src/coordination/membership.hpp
@@ -2,6 +2,9 @@
 // the process lives.
 #pragma once
 
+#include <optional>
+#include <string_view>
+
 #include "controller/controller_state.hpp"
 #include "controller/runtime.hpp"
 #include "coordination/state_follower.hpp"
@@ -11,7 +14,13 @@
 
 namespace asio = boost::asio;
 
-/// Joins, renews, and joins again when the store lease or the member key is lost.
+/// Why the process has to join anew, for the log; nothing while its membership goes on. The key can be lost
+/// under a living store lease: a late write of our label's earlier process took it along.
+std::optional<std::string_view> membership_loss(const controller::ControllerState& state,
+                                                state::LeaseRenewal renewal);
+
+/// Joins, renews, and joins again when the store lease or the member key is lost. Other controllers may lead
+/// our partitions only once the key is gone.
 class Membership {
  public:
   Membership(controller::Runtime& runtime, controller::SharedState& state, state::KeyValueStore& store,
@@ -27,6 +36,7 @@
   asio::awaitable<void> run();
 
  private:
+  // False if it has to be tried again.
   asio::awaitable<bool> join();
 
   controller::Runtime& runtime_;
--- a/src/coordination/state_follower.cpp
+++ b/src/coordination/state_follower.cpp
@@ -11,80 +11,104 @@
 
 using controller::ControllerState;
 
-// For the log: which of the budget's changes went where.
-std::string keys_of(const std::vector<state::KeyUpdate>& changes) {
-  std::string out;
-  for (const auto& c : changes) out += (out.empty() ? "" : ",") + c.key;
-  return out;
+constexpr int kPageKeys = 500;
+constexpr double kLoadRetryS = 0.3;
+constexpr double kReadRetryS = 0.2;
+
+// For the log: which of the budget's writes went where.
+std::string keys_of(const std::vector<state::KeyUpdate>& updates) {
+  std::string keys;
+  for (const auto& update : updates) keys += (keys.empty() ? "" : ",") + update.key;
+  return keys;
 }
 
 }  // namespace
 
+bool reads_everything(bool loaded_once, core::TimePoint synchronized_at, core::TimePoint now) {
+  constexpr double kLongGapS = 8;
+  if (!loaded_once) return true;
+  return synchronized_at != core::TimePoint{} && core::since(synchronized_at, now) > kLongGapS;
+}
+
 asio::awaitable<bool> StateFollower::load() {
-  std::vector<state::KeyUpdate> all;
-  std::string after;
-  std::optional<std::uint64_t> revision;
-  while (true) {
-    auto page = co_await store_.list(after, 500);
-    if (!page.ok) co_return false;
+  std::vector<state::KeyUpdate> updates;
+  std::optional<std::uint64_t> revision;  // of the first page
+  bool more = true;
+  while (more) {
+    std::string after;  // named: GCC 12 destroys the temporaries of a conditional in a co_await twice
+    if (!updates.empty()) after = updates.back().key;
+    auto result = co_await store_.list(std::move(after), kPageKeys);
+    if (const auto* error = std::get_if<state::StoreError>(&result)) {
+      spdlog::debug("state not loaded reason={}", name_of(*error));
+      co_return false;
+    }
+    auto& page = std::get<state::ListPage>(result);
     if (!revision) revision = page.revision;
-    for (auto& item : page.items) all.push_back(std::move(item));
-    if (!page.more || page.items.empty()) break;
-    after = all.back().key;
+    more = page.more && !page.items.empty();
+    for (auto& item : page.items) updates.push_back(std::move(item));
   }
-  state_.with([&](ControllerState& w) {
-    w.cache.reset();
-    for (const auto& e : all) w.cache.apply(e);
+  state_.with([&](ControllerState& state) {
+    state.cache.reset();
+    for (const auto& update : updates) state.cache.apply(update);
     // Pages are read one after the other, and own writes may be newer than they: not to be decided from until
     // the changes since the first one have been read. A heartbeat would find its tasks unknown and stop them.
-    w.cache.synchronized(*revision);
-    w.loaded = false;
+    state.cache.synchronized(*revision);
+    state.loaded = false;
   });
-  spdlog::info("state loaded keys={} epoch={}", all.size(), *revision);
+  spdlog::info("state loaded keys={} revision={}", updates.size(), *revision);
   co_return true;
 }
 
 asio::awaitable<void> StateFollower::run() {
-  // After a cut or an outage all changes since would come in one answer, as large as they are; everything in
-  // pages is less, and what is known is kept until it has come.
-  constexpr double kLongGap = 8;
-  controller::Wakeup pause(runtime_.io());
-  bool filled = false;
+  bool loaded_once = false;
   while (true) {
-    const double gap = state_.with([](ControllerState& w) {
-      return w.synchronized_at == core::TimePoint{} ? 0 : core::since(w.synchronized_at, core::Steady::now());
-    });
-    if (!filled || gap > kLongGap) {
+    const auto synchronized_at = state_.with([](ControllerState& state) { return state.synchronized_at; });
+    if (reads_everything(loaded_once, synchronized_at, core::Steady::now())) {
       if (!co_await load()) {
-        co_await runtime_.sleep(0.3);
+        co_await runtime_.sleep(kLoadRetryS);
         continue;
       }
-      filled = true;
+      loaded_once = true;
     }
-    const auto from = state_.with([](ControllerState& w) { return w.cache.revision(); });
-    const auto sent = core::Steady::now();
-    const auto changes = co_await store_.changes(from);
-    if (changes.kind == state::ChangesResult::Kind::too_old) {
-      state_.with([](ControllerState& w) { w.loaded = false; });
-      filled = false;
+    const auto read = co_await read_changes();
+    if (read == ReadOutcome::revision_too_old) {
+      loaded_once = false;
       continue;
     }
-    if (changes.kind == state::ChangesResult::Kind::ok) {
-      state_.with([&](ControllerState& w) {
-        for (const auto& e : changes.events) w.cache.apply(e);
-        w.cache.synchronized(changes.revision);
-        w.synchronized_at = sent;
-        w.loaded = true;
-      });
-      serve_waiters(sent);
-    }
-    // Polls share reads: at most one read in each short interval, at least one in each long one.
-    co_await pause.wait(tuning_.sync_least_s);
-    if (changes.kind != state::ChangesResult::Kind::ok) {
-      co_await runtime_.sleep(0.2);
-    } else if (waiters_.empty()) {
-      co_await wakeup_.wait(tuning_.sync_s);
+    co_await pause_after(read);
+  }
+}
+
+asio::awaitable<StateFollower::ReadOutcome> StateFollower::read_changes() {
+  const auto from = state_.with([](ControllerState& state) { return state.cache.revision(); });
+  const auto sent = core::Steady::now();
+  const auto result = co_await store_.changes(from);
+  if (const auto* error = std::get_if<state::StoreError>(&result)) {
+    if (*error != state::StoreError::revision_too_old) {
+      spdlog::debug("changes not read revision={} reason={}", from, name_of(*error));
+      co_return ReadOutcome::failed;
     }
+    spdlog::info("state outdated revision={} reason={}", from, name_of(*error));
+    state_.with([](ControllerState& state) { state.loaded = false; });
+    co_return ReadOutcome::revision_too_old;
+  }
+  const auto& changes = std::get<state::Changes>(result);
+  state_.with([&](ControllerState& state) {
+    for (const auto& event : changes.events) state.cache.apply(event);
+    state.cache.synchronized(changes.revision);
+    state.synchronized_at = sent;
+    state.loaded = true;
+  });
+  serve_waiters(sent);
+  co_return ReadOutcome::applied;
+}
+
+asio::awaitable<void> StateFollower::pause_after(ReadOutcome read) {
+  co_await spacing_.wait(tuning_.sync_least_s);
+  if (read != ReadOutcome::applied) {
+    co_await runtime_.sleep(kReadRetryS);
+  } else if (waiters_.empty()) {
+    co_await wakeup_.wait(tuning_.sync_s);
   }
 }
 
@@ -108,27 +132,26 @@
       std::make_shared<Waiter>(Waiter{core::Steady::now(), false, core::Timer(runtime_.io(), deadline)});
   waiters_.push_back(waiter);
   wake();
-  boost::system::error_code ec;
-  co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+  boost::system::error_code error;
+  co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
   if (!waiter->served) waiters_.remove(waiter);
   co_return waiter->served;
 }
 
-asio::awaitable<state::CommitResult> StateFollower::commit(state::Transaction txn) {
-  std::vector<state::KeyUpdate> local;
-  for (const auto& c : txn.writes) local.push_back({c.key, c.value, 0});
-  auto result = co_await store_.commit(std::move(txn));
+asio::awaitable<state::CommitResult> StateFollower::commit(state::Transaction transaction) {
+  std::vector<state::KeyUpdate> updates;
+  for (const auto& write : transaction.writes) updates.push_back({write.key, write.value, 0});
+  auto result = co_await store_.commit(std::move(transaction));
   if (spdlog::should_log(spdlog::level::debug))
-    spdlog::debug("commit outcome={} epoch={} changes={}", static_cast<int>(result.outcome), result.revision,
-                  keys_of(local));
-  if (result.outcome == state::CommitStatus::done) {
-    state_.with([&](ControllerState& w) {
-      for (auto& e : local) {
-        e.revision = result.revision;
-        w.cache.apply(e);
-      }
-    });
-  }
+    spdlog::debug("commit outcome={} revision={} keys={}", name_of(result.outcome), result.revision,
+                  keys_of(updates));
+  if (result.outcome != state::CommitStatus::done) co_return result;
+  state_.with([&](ControllerState& state) {
+    for (auto& update : updates) {
+      update.revision = result.revision;
+      state.cache.apply(update);
+    }
+  });
   co_return result;
 }
 
--- /dev/null
+++ b/src/state/assignment_table.cpp
@@ -0,0 +1,203 @@
+#include "state/assignment_table.hpp"
+
+#include <algorithm>
+
+namespace finchrun::state {
+
+std::vector<core::JobId> AssignmentTable::apply_shard(core::PartitionId partition, const std::string& name,
+                                                      const KeyUpdate& update) {
+  const auto id = open_shard(partition, name);
+  auto& shard = shards_[id.index];
+  if (update.revision <= shard.revision) return {};
+  // All of it is read before any of the old goes: a record that makes no sense must not be taken for absence.
+  std::vector<std::pair<core::JobId, jobs::JobAssignments>> contents;
+  if (update.value) contents = decode_shard(*update.value, names_);
+  ++version_;
+  auto changed = std::exchange(shard.jobs, {});
+  shard.revision = update.value ? update.revision : 0;
+  shard.bytes = 0;
+  shard.unreconciled.clear();
+  for (auto& [job, stored] : contents) {
+    shard.jobs.push_back(job);
+    put(job, id, std::move(stored));
+  }
+  std::sort(shard.jobs.begin(), shard.jobs.end());
+  for (const auto job : changed)
+    if (!std::binary_search(shard.jobs.begin(), shard.jobs.end(), job)) replace(job, id, {});
+  changed.insert(changed.end(), shard.jobs.begin(), shard.jobs.end());
+  return changed;
+}
+
+core::ShardId AssignmentTable::open_shard(core::PartitionId partition, const std::string& name) {
+  const auto [it, added] = shard_ids_.try_emplace({partition, name});
+  if (added) {
+    it->second = core::ShardId{static_cast<std::uint32_t>(shards_.size())};
+    shards_.push_back({partition, name, 0, {}, 0, {}});
+  }
+  return it->second;
+}
+
+std::vector<core::JobId> AssignmentTable::apply_tombstones(core::PartitionId partition,
+                                                           const KeyUpdate& update) {
+  auto& list = tombstones_[partition.index];
+  if (update.revision <= list.revision) return {};
+  TombstoneList next;
+  next.revision = update.revision;
+  if (update.value) next = decode_tombstones(*update.value, update.revision, names_);
+  ++version_;
+  const auto before = std::exchange(list, std::move(next));
+  std::set<std::string> names;
+  for (const auto& [name, _] : before.shards) names.insert(name);
+  for (const auto& [name, _] : list.shards) names.insert(name);
+  std::vector<core::JobId> changed;
+  for (const auto& name : names) {
+    const auto shard = find_shard(partition, name);
+    if (!shard) continue;  // its record follows in the same read
+    const auto jobs = reapply_tombstones(*shard, before.of(name), list.of(name));
+    changed.insert(changed.end(), jobs.begin(), jobs.end());
+  }
+  return changed;
+}
+
+std::vector<core::JobId> AssignmentTable::reapply_tombstones(core::ShardId id, const JobTombstones& before,
+                                                             const JobTombstones& now) {
+  const auto tombstones_in = [](const JobTombstones& list, core::JobId job) {
+    const auto it = list.find(job);
+    return it == list.end() ? nullptr : &it->second;
+  };
+  auto& shard = shards_[id.index];
+  std::vector<core::JobId> changed;
+  for (const auto job : shard.jobs) {
+    const auto* old_items = tombstones_in(before, job);
+    const auto* new_items = tombstones_in(now, job);
+    if (!old_items && !new_items) continue;
+    if (old_items && new_items && *old_items == *new_items) continue;
+    const auto* effective = find(job, id);
+    const auto current = effective ? *effective : jobs::JobAssignments{};
+    const auto unreconciled = shard.unreconciled.find(job);
+    shard.bytes -= jobs::bytes_at_most(current, names_);
+    put(job, id, unreconciled != shard.unreconciled.end() ? unreconciled->second : current);
+    changed.push_back(job);
+  }
+  return changed;
+}
+
+void AssignmentTable::put(core::JobId id, core::ShardId shard_id, jobs::JobAssignments stored) {
+  auto& shard = shards_[shard_id.index];
+  const auto& tombstones = tombstones_[shard.partition.index].of(shard.name);
+  const auto items = tombstones.find(id);
+  auto effective = stored;
+  const bool differs = items != tombstones.end() && state::apply_tombstones(effective, items->second);
+  shard.bytes += jobs::bytes_at_most(effective, names_);
+  replace(id, shard_id, std::move(effective));
+  if (differs) {
+    shard.unreconciled[id] = std::move(stored);
+  } else {
+    shard.unreconciled.erase(id);
+  }
+}
+
+void AssignmentTable::replace(core::JobId id, core::ShardId shard, jobs::JobAssignments next) {
+  auto& job = entry(id);
+  const auto partition = shards_[shard.index].partition;
+  const auto it = std::find_if(job.shard_assignments.begin(), job.shard_assignments.end(),
+                               [&](const ShardAssignments& held) { return held.shard == shard; });
+  if (it != job.shard_assignments.end()) {
+    if (it->run == next) return;
+    job.done -= it->run.done.size();
+    job.placed -= static_cast<std::uint32_t>(it->run.assignments.size());
+    remove_from_machines(id, *it);
+    job.shard_assignments.erase(it);
+  }
+  if (!next.empty()) {
+    // A task stands as done in one shard of its job only, and so does an assignment.
+    job.done += next.done.size();
+    job.placed += static_cast<std::uint32_t>(next.assignments.size());
+    for (const auto& assignment : next.assignments)
+      by_machine_[assignment.machine].push_back({id, partition, assignment});
+    job.shard_assignments.push_back({partition, shard, std::move(next)});
+  }
+  if (job.shard_assignments.empty()) {
+    assigned_jobs_.erase(id);
+  } else {
+    assigned_jobs_.insert(id);
+  }
+}
+
+void AssignmentTable::remove_from_machines(core::JobId id, const ShardAssignments& removed) {
+  for (const auto& assignment : removed.run.assignments) {
+    const auto machine = by_machine_.find(assignment.machine);
+    if (machine == by_machine_.end()) continue;
+    std::erase_if(machine->second, [&](const MachineAssignment& listed) {
+      return listed.job == id && listed.partition == removed.partition && listed.assignment == assignment;
+    });
+    if (machine->second.empty()) by_machine_.erase(machine);
+  }
+}
+
+void AssignmentTable::reset() {
+  entries_.clear();
+  assigned_jobs_.clear();
+  shards_.clear();
+  shard_ids_.clear();
+  tombstones_.assign(tombstones_.size(), {});
+  unreadable_partitions_.clear();
+  by_machine_.clear();
+}
+
+AssignmentTable::JobEntry& AssignmentTable::entry(core::JobId id) {
+  if (id.index >= entries_.size()) entries_.resize(id.index + 1);
+  return entries_[id.index];
+}
+
+std::optional<core::ShardId> AssignmentTable::find_shard(core::PartitionId partition,
+                                                         const std::string& name) const {
+  const auto it = shard_ids_.find({partition, name});
+  if (it == shard_ids_.end()) return std::nullopt;
+  return it->second;
+}
+
+std::vector<core::ShardId> AssignmentTable::shards(core::PartitionId partition) const {
+  std::vector<core::ShardId> present;
+  for (auto it = shard_ids_.lower_bound({partition, {}});
+       it != shard_ids_.end() && it->first.first == partition; ++it)
+    if (shards_[it->second.index].revision > 0) present.push_back(it->second);
+  return present;
+}
+
+const std::vector<ShardAssignments>& AssignmentTable::shard_assignments(core::JobId id) const {
+  static const std::vector<ShardAssignments> nothing;
+  return id.index < entries_.size() ? entries_[id.index].shard_assignments : nothing;
+}
+
+const jobs::JobAssignments* AssignmentTable::find(core::JobId id, core::ShardId shard) const {
+  for (const auto& held : shard_assignments(id))
+    if (held.shard == shard) return &held.run;
+  return nullptr;
+}
+
+bool AssignmentTable::has_assignment(core::JobId id, core::PartitionId partition, std::uint32_t task,
+                                     std::uint64_t attempt) const {
+  for (const auto& held : shard_assignments(id)) {
+    if (held.partition != partition) continue;
+    for (const auto& assignment : held.run.assignments)
+      if (assignment.task == task && assignment.attempt == attempt) return true;
+  }
+  return false;
+}
+
+std::uint32_t AssignmentTable::done(core::JobId id) const {
+  return id.index < entries_.size() ? entries_[id.index].done : 0;
+}
+
+std::uint32_t AssignmentTable::placed(core::JobId id) const {
+  return id.index < entries_.size() ? entries_[id.index].placed : 0;
+}
+
+const std::vector<MachineAssignment>& AssignmentTable::on_machine(core::MachineId id) const {
+  static const std::vector<MachineAssignment> nothing;
+  const auto it = by_machine_.find(id);
+  return it == by_machine_.end() ? nothing : it->second;
+}
+
+}  // namespace finchrun::state
--- /dev/null
+++ b/src/state/coordination_records.hpp
@@ -0,0 +1,57 @@
+// The small records of the state cache by which controllers coordinate: who leads what, who lives, and what
+// leaders agree on or leave to their successors.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <vector>
+
+#include "state/records.hpp"
+#include "state/transaction.hpp"
+
+namespace finchrun::state {
+
+/// Leadership, fence and usage by partition; members by label; quotas by team.
+class CoordinationRecords {
+ public:
+  CoordinationRecords(const jobs::Names& names, std::size_t partitions, std::size_t teams)
+      : names_(names), leadership_(partitions), quotas_(teams), fences_(partitions, 0), usage_(partitions) {}
+
+  /// Each applies a change of one record, named by the part of its key after the table. One that is not newer
+  /// than what is known does nothing, nor does one of a partition or team that this controller isn't
+  /// configured with. They throw on a record that makes no sense; the one known before stays then.
+  void apply_leadership(std::string_view partition, const KeyUpdate& update);
+  void apply_member(std::string_view label, const KeyUpdate& update);
+  void apply_quota(std::string_view team, const KeyUpdate& update);
+  void apply_fence(std::string_view partition, const KeyUpdate& update);
+  void apply_usage(std::string_view partition, const KeyUpdate& update);
+  /// Forgets all but the last levels.
+  void reset();
+
+  [[nodiscard]] const LeadershipRecord& leadership(core::PartitionId id) const {
+    return leadership_.at(id.index);
+  }
+  [[nodiscard]] std::size_t partitions() const { return leadership_.size(); }
+  [[nodiscard]] const Member* member(const std::string& label) const;
+  [[nodiscard]] const std::unordered_map<std::string, Member>& members() const { return members_; }
+  /// What the newest member record of the label said, though the process may have ended since.
+  [[nodiscard]] std::optional<std::uint64_t> last_level(const std::string& label) const;
+  [[nodiscard]] const QuotaRecord& quota(core::TeamId id) const { return quotas_.at(id.index); }
+  /// Revision of the partition's fence.
+  [[nodiscard]] std::uint64_t fence(core::PartitionId id) const { return fences_.at(id.index); }
+  [[nodiscard]] const UsageRecord& usage(core::PartitionId id) const { return usage_.at(id.index); }
+
+ private:
+  const jobs::Names& names_;
+  std::vector<LeadershipRecord> leadership_;
+  std::unordered_map<std::string, Member> members_;
+  std::unordered_map<std::string, std::uint64_t> last_levels_;  // by label
+  std::vector<QuotaRecord> quotas_;
+  std::vector<std::uint64_t> fences_;
+  std::vector<UsageRecord> usage_;
+};
+
+}  // namespace finchrun::state
--- /dev/null
+++ b/src/state/job_table.cpp
@@ -0,0 +1,59 @@
+#include "state/job_table.hpp"
+
+namespace finchrun::state {
+
+void JobTable::apply(core::JobId id, const KeyUpdate& update) {
+  auto& entry = this->entry(id);
+  if (update.revision <= entry.record.revision) return;
+  ++version_;
+  unreadable_.erase(id);
+  if (!update.value) {
+    entry = {};
+    live_.erase(id);
+    return;
+  }
+  entry.record = jobs::job_from_json(*update.value, names_);
+  entry.record.revision = update.revision;
+  entry.known = true;
+  if (entry.record.status == jobs::Status::live) {
+    live_.insert(id);
+  } else {
+    live_.erase(id);
+  }
+  if (entry.record.status == jobs::Status::cancelled) note_cancellation(id, update.revision);
+}
+
+void JobTable::note_cancellation(core::JobId id, std::uint64_t revision) {
+  constexpr std::size_t kMostCancellations = 4096;
+  cancelled_.emplace(revision, id);
+  if (cancelled_.size() <= kMostCancellations) return;
+  cancellations_forgotten_to_ = cancelled_.begin()->first;
+  cancelled_.erase(cancelled_.begin());
+}
+
+void JobTable::reset() {
+  entries_.clear();
+  live_.clear();
+  unreadable_.clear();
+  cancelled_.clear();
+  cancellations_forgotten_to_ = 0;
+}
+
+JobTable::Entry& JobTable::entry(core::JobId id) {
+  if (id.index >= entries_.size()) entries_.resize(id.index + 1);
+  return entries_[id.index];
+}
+
+const jobs::JobRecord* JobTable::find(core::JobId id) const {
+  return id.index < entries_.size() && entries_[id.index].known ? &entries_[id.index].record : nullptr;
+}
+
+std::optional<std::vector<core::JobId>> JobTable::cancelled_after(std::uint64_t revision) const {
+  if (revision < cancellations_forgotten_to_) return std::nullopt;
+  std::vector<core::JobId> ids;
+  for (auto it = cancelled_.lower_bound({revision + 1, core::JobId{0}}); it != cancelled_.end(); ++it)
+    ids.push_back(it->second);
+  return ids;
+}
+
+}  // namespace finchrun::state
--- /dev/null
+++ b/src/state/store_protocol.cpp
@@ -0,0 +1,201 @@
+#include "state/store_protocol.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <cctype>
+
+namespace finchrun::state {
+namespace {
+
+std::uint64_t whole(const json::value& value) { return value.to_number<std::uint64_t>(); }
+
+std::optional<json::value> parse(const std::string& body) {
+  boost::system::error_code error;
+  json::value value = json::parse(body, error);
+  if (error || !value.is_object()) return std::nullopt;
+  return value;
+}
+
+StoreError error_of(int status) {
+  switch (status) {
+    case http_status::kNoAnswer:
+      return StoreError::no_answer;
+    case http_status::kGone:
+      return StoreError::revision_too_old;
+    case http_status::kTooManyRequests:
+    case http_status::kServiceUnavailable:
+      return StoreError::refused;
+    default:
+      return StoreError::malformed_answer;
+  }
+}
+
+// Reads the body of a successful answer; `read` throws on what it doesn't understand.
+template <class T, class Read>
+Result<T> result(const http::Answer& answer, const char* request, Read&& read) {
+  if (answer.status != http_status::kOk) return error_of(answer.status);
+  const auto body = parse(answer.body);
+  if (!body) return StoreError::malformed_answer;
+  try {
+    return read(*body);
+  } catch (const std::exception& fault) {
+    spdlog::warn("store answer malformed request={} reason={}", request, fault.what());
+    return StoreError::malformed_answer;
+  }
+}
+
+KeyUpdate read_item(const json::object& item, const char* key_field) {
+  KeyUpdate update;
+  update.key = std::string(item.at(key_field).as_string());
+  update.value = item.at("data");
+  update.revision = whole(item.at("stamp"));
+  return update;
+}
+
+KeyUpdate read_event(const json::object& event) {
+  if (!event.contains("delete")) return read_item(event, "set");
+  return {std::string(event.at("delete").as_string()), std::nullopt, whole(event.at("stamp"))};
+}
+
+std::string escape(const std::string& text) {
+  static constexpr char kHex[] = "0123456789ABCDEF";
+  std::string out;
+  for (const unsigned char c : text) {
+    if (std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == '~' || c == '/') {
+      out += static_cast<char>(c);
+    } else {
+      out += '%';
+      out += kHex[c >> 4];
+      out += kHex[c & 15];
+    }
+  }
+  return out;
+}
+
+// 200 and 409 carry the store's revision; 409 also the keys whose condition failed.
+CommitResult answered_commit(const http::Answer& answer) {
+  const auto body = parse(answer.body);
+  if (!body) return {};
+  try {
+    CommitResult result;
+    result.revision = whole(body->at("epoch"));
+    result.outcome = answer.status == http_status::kOk ? CommitStatus::done : CommitStatus::conflict;
+    if (result.outcome == CommitStatus::conflict)
+      for (const auto& key : body->at("failed").as_array()) result.failed.emplace_back(key.as_string());
+    return result;
+  } catch (const std::exception&) {
+    return {};
+  }
+}
+
+}  // namespace
+
+const char* name_of(StoreError error) {
+  switch (error) {
+    case StoreError::refused:
+      return "refused";
+    case StoreError::no_answer:
+      return "no_answer";
+    case StoreError::revision_too_old:
+      return "revision_too_old";
+    case StoreError::malformed_answer:
+      break;
+  }
+  return "malformed_answer";
+}
+
+CommitBody commit_body(const Transaction& transaction, const config::StateLimits& limits) {
+  const auto max_bytes = static_cast<std::size_t>(limits.value_kb * 1024);
+  json::array compares;
+  for (const auto& compare : transaction.compares)
+    compares.push_back(json::object{{"k", compare.key}, {"stamp", compare.revision}});
+  CommitBody body;
+  body.text = "{\"when\":" + json::serialize(compares) + ",\"then\":[";
+  for (const auto& write : transaction.writes) {
+    if (&write != &transaction.writes.front()) body.text += ',';
+    const auto key = json::serialize(json::string(write.key));
+    if (!write.value) {
+      body.text += "{\"delete\":" + key + "}";
+      continue;
+    }
+    const auto value = json::serialize(*write.value);
+    if (value.size() > max_bytes) {
+      body.oversized_key = write.key;
+      body.oversized_bytes = value.size();
+    }
+    body.text += "{\"set\":" + key + ",\"data\":" + value;
+    if (write.store_lease) body.text += ",\"hold\":" + std::to_string(*write.store_lease);
+    body.text += '}';
+  }
+  body.text += "]}";
+  return body;
+}
+
+std::string lease_body(int ttl_ms) { return json::serialize(json::object{{"ttlMs", ttl_ms}}); }
+
+std::string changes_target(std::uint64_t from) {
+  return "/follow?under=&from=" + std::to_string(from) + "&blockMs=0";
+}
+
+std::string list_target(const std::string& after, int limit) {
+  std::string target = "/store?under=&limit=" + std::to_string(limit);
+  if (!after.empty()) target += "&from=" + escape(after);
+  return target;
+}
+
+std::string renewal_target(std::uint64_t store_lease) {
+  return "/grants/" + std::to_string(store_lease) + "/extend";
+}
+
+CommitResult commit_result(const http::Answer& answer) {
+  CommitResult result;
+  switch (answer.status) {
+    case http_status::kOk:
+    case http_status::kConflict:
+      return answered_commit(answer);
+    case http_status::kBadRequest:
+      result.outcome = answer.body.find("no such lease") != std::string::npos ? CommitStatus::lease_expired
+                                                                              : CommitStatus::malformed;
+      break;
+    case http_status::kTooManyRequests:
+    case http_status::kServiceUnavailable:
+      result.outcome = CommitStatus::refused;
+      break;
+    default:
+      break;
+  }
+  return result;
+}
+
+Result<Changes> changes_result(const http::Answer& answer) {
+  return result<Changes>(answer, "changes", [](const json::value& body) {
+    Changes changes;
+    changes.revision = whole(body.at("epoch"));
+    for (const auto& event : body.at("events").as_array())
+      changes.events.push_back(read_event(event.as_object()));
+    return changes;
+  });
+}
+
+Result<ListPage> list_result(const http::Answer& answer) {
+  return result<ListPage>(answer, "list", [](const json::value& body) {
+    ListPage page;
+    page.revision = whole(body.at("epoch"));
+    page.more = body.at("hasNext").as_bool();
+    for (const auto& item : body.at("items").as_array())
+      page.items.push_back(read_item(item.as_object(), "k"));
+    return page;
+  });
+}
+
+Result<std::uint64_t> lease_result(const http::Answer& answer) {
+  return result<std::uint64_t>(answer, "grant_lease",
+                               [](const json::value& body) { return whole(body.at("hold")); });
+}
+
+LeaseRenewal renewal_result(const http::Answer& answer) {
+  if (answer.status == http_status::kOk) return LeaseRenewal::renewed;
+  return answer.status == http_status::kNotFound ? LeaseRenewal::expired : LeaseRenewal::unknown;
+}
+
+}  // namespace finchrun::state
--- a/tests/state/key_value_store_test.cpp
+++ b/tests/state/key_value_store_test.cpp
@@ -115,7 +115,7 @@
 struct ChangesCase {
   int status;
   const char* body;
-  ChangesResult::Kind kind;
+  std::optional<StoreError> error;
   std::size_t events;
 };
 class ReadChanges : public testing::TestWithParam<ChangesCase> {};
@@ -124,8 +124,13 @@
   KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({GetParam().status, GetParam().body});
   const auto result = run([&] { return store.changes(7); });
-  EXPECT_EQ(result.kind, GetParam().kind);
-  EXPECT_EQ(result.events.size(), GetParam().events);
+  ASSERT_EQ(std::holds_alternative<StoreError>(result), GetParam().error.has_value());
+  if (GetParam().error) {
+    EXPECT_EQ(std::get<StoreError>(result), *GetParam().error);
+  } else {
+    EXPECT_EQ(std::get<Changes>(result).revision, 433u);
+    EXPECT_EQ(std::get<Changes>(result).events.size(), GetParam().events);
+  }
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, ReadChanges,
@@ -133,12 +138,65 @@
         ChangesCase{
             200,
             R"({"epoch":433,"events":[{"set":"c/9","data":{},"stamp":433},{"delete":"c/d","stamp":432}]})",
-            ChangesResult::Kind::ok, 2},
-        ChangesCase{200, R"({"epoch":433,"events":[]})", ChangesResult::Kind::ok, 0},
-        ChangesCase{410, "", ChangesResult::Kind::too_old, 0},
-        ChangesCase{503, "", ChangesResult::Kind::failed, 0},
-        ChangesCase{200, R"({"epoch":433,"events":[{"set":3}]})", ChangesResult::Kind::failed, 0},
-        ChangesCase{0, "", ChangesResult::Kind::failed, 0}));
+            std::nullopt, 2},
+        ChangesCase{200, R"({"epoch":433,"events":[]})", std::nullopt, 0},
+        ChangesCase{410, "", StoreError::revision_too_old, 0}, ChangesCase{429, "", StoreError::refused, 0},
+        ChangesCase{503, "", StoreError::refused, 0},
+        ChangesCase{200, R"({"epoch":433,"events":[{"set":3}]})", StoreError::malformed_answer, 0},
+        ChangesCase{200, "<html>", StoreError::malformed_answer, 0},
+        ChangesCase{500, "", StoreError::malformed_answer, 0}, ChangesCase{0, "", StoreError::no_answer, 0}));
+
+TEST(KeyValueStore, ListsPageByPage) {
+  Scripted net;
+  KeyValueStore store(net, settings(20, 16));
+  net.answers.push_back(
+      {200, R"({"epoch":9,"hasNext":true,"items":[{"k":"jobs/a b","data":{"x":1},"stamp":8}]})"});
+  net.answers.push_back({200, R"({"epoch":9,"items":[]})"});
+  const auto first = run([&] { return store.list("", 500); });
+  ASSERT_TRUE(std::holds_alternative<ListPage>(first));
+  const auto& page = std::get<ListPage>(first);
+  EXPECT_TRUE(page.more);
+  EXPECT_EQ(page.revision, 9u);
+  ASSERT_EQ(page.items.size(), 1u);
+  EXPECT_EQ(page.items[0].revision, 8u);
+  const auto second = run([&] { return store.list("jobs/a b", 500); });
+  EXPECT_EQ(std::get<StoreError>(second), StoreError::malformed_answer)
+      << "does not say whether there is more";
+  EXPECT_EQ(net.asked,
+            (std::vector<std::string>{"/store?under=&limit=500", "/store?under=&limit=500&from=jobs/a%20b"}));
+}
+
+TEST(KeyValueStore, LeaseIsGrantedOnlyByAnAnswerThatNamesIt) {
+  struct Case {
+    http::Answer answer;
+    Result<std::uint64_t> result;
+  };
+  for (const auto& c :
+       {Case{{200, R"({"hold":71})"}, std::uint64_t{71}}, Case{{200, "{}"}, StoreError::malformed_answer},
+        Case{{200, R"({"hold":"x"})"}, StoreError::malformed_answer}, Case{{503, ""}, StoreError::refused},
+        Case{{0, ""}, StoreError::no_answer}}) {
+    Scripted net;
+    KeyValueStore store(net, settings(20, 16));
+    net.answers.push_back(c.answer);
+    EXPECT_EQ(run([&] { return store.grant_lease(4000); }), c.result) << c.answer.status << c.answer.body;
+    EXPECT_EQ(net.asked.at(0), "/grants");
+    EXPECT_EQ(net.bodies.at(0), R"({"ttlMs":4000})");
+  }
+}
+
+// A process that took an outage for the end of its store lease would join anew, and lose all that it leads.
+TEST(KeyValueStore, LeaseHasExpiredOnlyIfTheServiceSaysSo) {
+  for (const auto& [status, renewal] :
+       {std::pair{200, LeaseRenewal::renewed}, std::pair{404, LeaseRenewal::expired},
+        std::pair{503, LeaseRenewal::unknown}, std::pair{429, LeaseRenewal::unknown},
+        std::pair{0, LeaseRenewal::unknown}}) {
+    Scripted net;
+    KeyValueStore store(net, settings(20, 16));
+    net.answers.push_back({status, ""});
+    EXPECT_EQ(run([&] { return store.renew_lease(71); }), renewal) << status;
+    EXPECT_EQ(net.asked.at(0), "/grants/71/extend");
+  }
+}
 
 // A round once made transactions larger than the budget could ever grant, and nothing was placed any more.
 TEST(WriteBudget, LargestTransactionCanBeSpent) {
@@ -152,7 +210,7 @@
 
 // Five controllers, two of them leaders: together they ask for little more than the service grants, the
 // leaders can write a round's shards at once, and records never take what a submission needs.
-TEST(WriteBudget, IsSharedByWhoOwnsParts) {
+TEST(WriteBudget, IsSharedByWhoLeadsPartitions) {
   for (const double rps : {20.0, 50.0}) {
     Scripted net;
     KeyValueStore leader(net, settings(rps, 16)), other(net, settings(rps, 16));
