--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -44,96 +44,99 @@
   return std::nullopt;
 }
 
-json::value to_json(const JobRecord& r, const Names& names) {
-  json::object o;
-  const JobSpec& s = r.spec;
-  if (r.status != Status::live) {
-    // Tasks that are not certainly gone still take room on machines and of the team's limit.
-    o["st"] = r.status == Status::done ? "done" : "cancelled";
-    o["n"] = s.tasks;
-    o["team"] = names.teams.name(s.team);
-    o["need"] = json::array{s.need.cpus, s.need.gpus, s.need.ram_gb};
-    return o;
+json::value to_json(const JobRecord& record, const Names& names) {
+  json::object stored;
+  const JobSpec& spec = record.spec;
+  if (record.status != Status::live) {
+    // Tasks that are not certainly gone still take room on machines and of the team's quota.
+    stored["st"] = record.status == Status::done ? "done" : "cancelled";
+    stored["n"] = spec.tasks;
+    stored["team"] = names.teams.name(spec.team);
+    stored["need"] = json::array{spec.need.cpus, spec.need.gpus, spec.need.ram_gb};
+    return stored;
   }
-  o["st"] = "live";
-  o["lane"] = names.job_classes.name(s.job_class);
-  o["team"] = names.teams.name(s.team);
-  o["gang"] = s.gang();
-  o["pri"] = name_of(s.priority);
-  o["n"] = s.tasks;
-  o["need"] = json::array{s.need.cpus, s.need.gpus, s.need.ram_gb};
-  o["img"] = names.images.name(s.image);
-  o["gb"] = s.image_gb;
-  if (s.types) {
+  stored["st"] = "live";
+  stored["lane"] = names.job_classes.name(spec.job_class);
+  stored["team"] = names.teams.name(spec.team);
+  stored["gang"] = spec.gang();
+  stored["pri"] = name_of(spec.priority);
+  stored["n"] = spec.tasks;
+  stored["need"] = json::array{spec.need.cpus, spec.need.gpus, spec.need.ram_gb};
+  stored["img"] = names.images.name(spec.image);
+  stored["gb"] = spec.image_gb;
+  if (spec.types) {
     json::array types;
-    for (auto t : *s.types) types.emplace_back(names.types.name(t));
-    o["types"] = std::move(types);
+    for (const auto type : *spec.types) types.emplace_back(names.types.name(type));
+    stored["types"] = std::move(types);
   }
-  if (s.zone) o["zone"] = names.zones.name(*s.zone);
-  o["onez"] = s.one_zone;
-  o["sprd"] = s.spread;
-  o["spot"] = s.spot;
-  o["exp"] = s.standing() ? kStandingMark : s.expected_run_s;
-  o["ckpt"] = s.checkpoint_s;
-  o["save"] = s.save_s;
-  if (s.deadline_s) o["due"] = *s.deadline_s;
-  o["at"] = s.submitted_s;
+  if (spec.zone) stored["zone"] = names.zones.name(*spec.zone);
+  stored["onez"] = spec.one_zone;
+  stored["sprd"] = spec.spread;
+  stored["spot"] = spec.spot;
+  stored["exp"] = spec.standing() ? kStandingMark : spec.expected_run_s;
+  stored["ckpt"] = spec.checkpoint_s;
+  stored["save"] = spec.save_s;
+  if (spec.deadline_s) stored["due"] = *spec.deadline_s;
+  stored["at"] = spec.submitted_s;
   json::array ranges;
-  for (const auto& range : r.ranges)
+  for (const auto& range : record.ranges)
     ranges.push_back(json::array{range.from, range.to, names.partitions.name(range.partition)});
-  o["r"] = std::move(ranges);
-  return o;
+  stored["r"] = std::move(ranges);
+  return stored;
 }
 
-JobRecord job_from_json(const json::value& v, Names& names) {
-  const auto& o = v.as_object();
-  JobRecord r;
-  const auto& status = o.at("st").as_string();
-  JobSpec& s = r.spec;
-  s.tasks = static_cast<std::uint32_t>(whole(o.at("n")));
-  s.team = names.teams.intern(o.at("team").as_string());
-  const auto& need = o.at("need").as_array();
-  s.need = {need.at(0).to_number<double>(), need.at(1).to_number<double>(), need.at(2).to_number<double>()};
+JobRecord job_from_json(const json::value& value, Names& names) {
+  const auto& stored = value.as_object();
+  JobRecord record;
+  const auto& status = stored.at("st").as_string();
+  JobSpec& spec = record.spec;
+  spec.tasks = static_cast<std::uint32_t>(whole(stored.at("n")));
+  spec.team = names.teams.intern(stored.at("team").as_string());
+  const auto& need = stored.at("need").as_array();
+  spec.need = {need.at(0).to_number<double>(), need.at(1).to_number<double>(),
+               need.at(2).to_number<double>()};
   if (status != "live") {
-    r.status = status == "done" ? Status::done : Status::cancelled;
-    return r;
+    record.status = status == "done" ? Status::done : Status::cancelled;
+    return record;
   }
-  s.job_class = names.job_classes.intern(o.at("lane").as_string());
-  s.shape = o.at("gang").as_bool() ? Shape::gang : Shape::array;
-  s.priority = priority_from(o.at("pri").as_string()).value();
-  s.image = names.images.intern(o.at("img").as_string());
-  s.image_gb = o.at("gb").to_number<double>();
-  if (const auto* types = o.if_contains("types")) {
-    s.types.emplace();
-    for (const auto& t : types->as_array()) s.types->push_back(names.types.intern(t.as_string()));
+  spec.job_class = names.job_classes.intern(stored.at("lane").as_string());
+  spec.shape = stored.at("gang").as_bool() ? Shape::gang : Shape::array;
+  spec.priority = priority_from(stored.at("pri").as_string()).value();
+  spec.image = names.images.intern(stored.at("img").as_string());
+  spec.image_gb = stored.at("gb").to_number<double>();
+  if (const auto* types = stored.if_contains("types")) {
+    spec.types.emplace();
+    for (const auto& type : types->as_array()) spec.types->push_back(names.types.intern(type.as_string()));
   }
-  if (const auto* zone = o.if_contains("zone")) s.zone = names.zones.intern(zone->as_string());
-  s.one_zone = o.at("onez").as_bool();
-  s.spread = o.at("sprd").as_bool();
-  s.spot = o.at("spot").as_bool();
-  s.expected_run_s = o.at("exp").to_number<double>();
-  if (s.expected_run_s < 0) {
-    s.shape = Shape::standing;
-    s.expected_run_s = kNoEnd;
+  if (const auto* zone = stored.if_contains("zone")) spec.zone = names.zones.intern(zone->as_string());
+  spec.one_zone = stored.at("onez").as_bool();
+  spec.spread = stored.at("sprd").as_bool();
+  spec.spot = stored.at("spot").as_bool();
+  spec.expected_run_s = stored.at("exp").to_number<double>();
+  if (spec.expected_run_s < 0) {
+    spec.shape = Shape::standing;
+    spec.expected_run_s = kNoEnd;
   }
-  s.checkpoint_s = o.at("ckpt").to_number<double>();
-  s.save_s = o.at("save").to_number<double>();
-  if (const auto* due = o.if_contains("due")) s.deadline_s = due->to_number<double>();
-  s.submitted_s = o.at("at").to_number<double>();
-  for (const auto& item : o.at("r").as_array()) {
-    const auto& a = item.as_array();
-    auto partition = names.partitions.find(a.at(2).as_string());
-    if (!partition) throw std::runtime_error("range of an unknown part");
-    r.ranges.push_back(
-        {static_cast<std::uint32_t>(whole(a.at(0))), static_cast<std::uint32_t>(whole(a.at(1))), *partition});
+  spec.checkpoint_s = stored.at("ckpt").to_number<double>();
+  spec.save_s = stored.at("save").to_number<double>();
+  if (const auto* due = stored.if_contains("due")) spec.deadline_s = due->to_number<double>();
+  spec.submitted_s = stored.at("at").to_number<double>();
+  for (const auto& item : stored.at("r").as_array()) {
+    const auto& fields = item.as_array();
+    const auto partition = names.partitions.find(fields.at(2).as_string());
+    if (!partition) throw std::runtime_error("range of an unknown partition");
+    record.ranges.push_back({static_cast<std::uint32_t>(whole(fields.at(0))),
+                             static_cast<std::uint32_t>(whole(fields.at(1))), *partition});
   }
-  return r;
+  return record;
 }
 
-// Entries are grouped by attempt and machine: those of a large array then fit the service's limit on values.
-json::value to_json(const JobAssignments& r, const Names& names) {
+// Assignments are grouped by attempt and machine: those of a large array then fit the service's limit on
+// values.
+json::value to_json(const JobAssignments& run, const Names& names) {
   std::map<std::uint64_t, std::map<std::pair<core::MachineId, std::uint64_t>, json::array>> groups;
-  for (const auto& e : r.assignments) groups[e.attempt][{e.machine, e.agent_incarnation}].push_back(e.task);
+  for (const auto& assignment : run.assignments)
+    groups[assignment.attempt][{assignment.machine, assignment.agent_incarnation}].push_back(assignment.task);
   json::array assignments;
   for (auto& [attempt, machines] : groups) {
     json::array list;
@@ -142,41 +145,42 @@
     assignments.push_back(json::array{attempt, std::move(list)});
   }
   json::array done;
-  for (const auto& [a, b] : r.done.spans()) done.push_back(json::array{a, b});
+  for (const auto& [from, to] : run.done.spans()) done.push_back(json::array{from, to});
   return json::object{{"p", std::move(assignments)}, {"d", std::move(done)}};
 }
 
-JobAssignments assignments_from_json(const json::value& v, Names& names) {
-  const auto& o = v.as_object();
-  JobAssignments r;
-  for (const auto& item : o.at("p").as_array()) {
-    const auto& a = item.as_array();
-    const auto attempt = whole(a.at(0));
-    for (const auto& group : a.at(1).as_array()) {
-      const auto& g = group.as_array();
-      const auto machine = names.machines.intern(g.at(0).as_string());
-      const auto agent_incarnation = whole(g.at(1));
-      for (const auto& task : g.at(2).as_array())
-        r.assignments.push_back(
+JobAssignments assignments_from_json(const json::value& value, Names& names) {
+  const auto& stored = value.as_object();
+  JobAssignments run;
+  for (const auto& item : stored.at("p").as_array()) {
+    const auto& fields = item.as_array();
+    const auto attempt = whole(fields.at(0));
+    for (const auto& group : fields.at(1).as_array()) {
+      const auto& group_fields = group.as_array();
+      const auto machine = names.machines.intern(group_fields.at(0).as_string());
+      const auto agent_incarnation = whole(group_fields.at(1));
+      for (const auto& task : group_fields.at(2).as_array())
+        run.assignments.push_back(
             {static_cast<std::uint32_t>(whole(task)), attempt, machine, agent_incarnation});
     }
   }
-  for (const auto& item : o.at("d").as_array()) {
-    const auto& a = item.as_array();
-    r.done.add(static_cast<std::uint32_t>(whole(a.at(0))), static_cast<std::uint32_t>(whole(a.at(1))));
+  for (const auto& item : stored.at("d").as_array()) {
+    const auto& fields = item.as_array();
+    run.done.add(static_cast<std::uint32_t>(whole(fields.at(0))),
+                 static_cast<std::uint32_t>(whole(fields.at(1))));
   }
-  return r;
+  return run;
 }
 
-std::size_t bytes_at_most(const JobAssignments& r, const Names& names) {
+std::size_t bytes_at_most(const JobAssignments& run, const Names& names) {
   // Of the record's text: [12345,12346], for what is done; ["name",1234,[12345]], for a machine's first task,
   // which leaves less than that behind when it ends; for each task more what it becomes then; [123456789,[]],
   // for an attempt.
   constexpr std::size_t kFrame = 48, kSpan = 14, kMachine = 20, kTaskMore = kSpan, kAttempt = 15;
-  std::size_t bytes = kFrame + kSpan * r.done.spans().size();
+  std::size_t bytes = kFrame + kSpan * run.done.spans().size();
   std::vector<std::pair<std::uint64_t, core::MachineId>> groups;
-  groups.reserve(r.assignments.size());
-  for (const auto& e : r.assignments) groups.emplace_back(e.attempt, e.machine);
+  groups.reserve(run.assignments.size());
+  for (const auto& assignment : run.assignments) groups.emplace_back(assignment.attempt, assignment.machine);
   std::sort(groups.begin(), groups.end());
   for (std::size_t i = 0; i < groups.size(); ++i) {
     if (i == 0 || groups[i].first != groups[i - 1].first) bytes += kAttempt;
--- a/tests/state/records_test.cpp
+++ b/tests/state/records_test.cpp
@@ -2,6 +2,8 @@
 
 #include <gtest/gtest.h>
 
+#include "state/keys.hpp"
+
 namespace finchrun::state {
 namespace {
 
@@ -14,6 +16,25 @@
   jobs::Names names;
 };
 
+TEST(Keys, AreWrittenAndReadAsStored) {
+  using keys::Table;
+  const std::tuple<std::string, Table, std::string, const char*> cases[] = {
+      {keys::job("req-1"), Table::jobs, "req-1", "jobs/req-1"},
+      {keys::shard("a.0", "3"), Table::shards, "a.0/3", "runs/a.0/3"},
+      {keys::tombstones("a.0"), Table::tombstones, "a.0", "ends/a.0"},
+      {keys::partition("a.0"), Table::leadership, "a.0", "parts/a.0"},
+      {keys::member("perch-1"), Table::members, "perch-1", "members/perch-1"},
+      {keys::team("red"), Table::quotas, "red", "teams/red"},
+      {keys::fence("a.0"), Table::fences, "a.0", "fence/a.0"},
+      {keys::usage("a.0"), Table::usage, "a.0", "usage/a.0"}};
+  for (const auto& [key, table, name, stored] : cases) {
+    EXPECT_EQ(key, stored);
+    EXPECT_EQ(keys::table_from(keys::split(key).first), table) << key;
+    EXPECT_EQ(keys::split(key).second, name);
+  }
+  EXPECT_EQ(keys::table_from("later"), Table::unknown) << "of a newer version";
+}
+
 TEST(Records, MemberIsReadAndWrittenUnchanged) {
   const std::string text = R"({"inc":71,"level":2})";
   const auto member = decode_member(json::parse(text), 12);
--- a/tests/state/state_cache_test.cpp
+++ b/tests/state/state_cache_test.cpp
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(StateCache, TellsWhatWasCancelledAfterAnEpoch) {
+TEST(StateCache, ListsWhatWasCancelledAfterARevision) {
   Bed b;
   const auto job = [&](int i, const char* status, std::uint64_t revision) {
     b.cache.apply({"jobs/req-" + std::to_string(i),
@@ -81,7 +81,7 @@
   EXPECT_EQ(b.cache.cancelled_after(19)->size(), 4096u);
 }
 
-TEST(StateCache, FindsEntriesByMachineAsRecordsChange) {
+TEST(StateCache, FindsAssignmentsByMachineAsRecordsChange) {
   Bed b;
   b.cache.apply({"runs/a.0/0", shard(kPlaced), 10});
   const auto m = *b.names.machines.find("m");
@@ -96,10 +96,10 @@
   EXPECT_EQ(b.cache.on_machine(m).size(), 2u);
 }
 
-// A task ends and is noted ahead of its shard; then what is done moves to another shard and the note goes, in
-// one transaction. Read shard first, the note was taken into the shard once more, and the task counted as
-// done twice.
-TEST(StateCache, ShowsTheSameInWhicheverOrderATransactionIsRead) {
+// A task ends, with a tombstone ahead of its shard; then what is done moves to another shard and the
+// tombstone goes, in one transaction. Read shard first, the tombstone was applied to the shard once more, and
+// the task counted as done twice.
+TEST(StateCache, HoldsTheSameInWhicheverOrderATransactionIsRead) {
   std::vector<KeyUpdate> moved{{"runs/a.0/0", shard(R"({"p":[[7,[["m",1,[1]]]]],"d":[]})"), 12},
                                {"runs/a.0/1", shard(R"({"p":[],"d":[[0,1]]})"), 12},
                                {"ends/a.0", run("{}"), 12}};
