--- a/tests/assignments/production_reader.hpp
+++ b/tests/assignments/production_reader.hpp
@@ -6,15 +6,16 @@
 
 namespace finchrun::assignments {
 
-// Ends are taken into a shard for good when they are read, or when the shard is. So what it makes of a
-// transaction may depend on the order in which it is told of the keys.
+/// Takes tombstones into a shard for good when they are read, or when the shard is. So what it makes of a
+/// transaction may depend on the order in which it reads the keys.
 class ProductionReader {
  public:
   explicit ProductionReader(jobs::Names& names) : names_(names) {}
 
-  void read(const state::KeyUpdate& e) {
-    if (e.key.starts_with("runs/")) read_shard(e.key.substr(e.key.rfind('/') + 1), *e.value);
-    if (e.key.starts_with("ends/")) read_ends(*e.value);
+  void read(const state::KeyUpdate& update) {
+    if (update.key.starts_with("runs/"))
+      read_shard(update.key.substr(update.key.rfind('/') + 1), *update.value);
+    if (update.key.starts_with("ends/")) read_tombstones(*update.value);
   }
   [[nodiscard]] std::uint32_t done(const std::string& job) const {
     std::uint32_t sum = 0;
@@ -34,16 +35,16 @@
     shards_[name] = std::move(next);
     apply_tombstones(name);
   }
-  void read_ends(const boost::json::value& value) {
+  void read_tombstones(const boost::json::value& value) {
     tombstones_.clear();
     for (const auto& shard : value.as_object())
       for (const auto& job : shard.value().as_object())
         for (const auto& item : job.value().as_array()) {
-          const auto& a = item.as_array();
-          const auto number = [&](std::size_t i) { return a.at(i).to_number<std::uint32_t>(); };
-          state::Tombstone ended{number(0), a.at(1).to_number<std::uint64_t>(), {0, 0}};
-          if (a.size() > 2) ended.done = {number(2), number(3)};
-          tombstones_[std::string(shard.key())][std::string(job.key())].push_back(ended);
+          const auto& fields = item.as_array();
+          const auto number = [&](std::size_t i) { return fields.at(i).to_number<std::uint32_t>(); };
+          state::Tombstone tombstone{number(0), fields.at(1).to_number<std::uint64_t>(), {0, 0}};
+          if (fields.size() > 2) tombstone.done = {number(2), number(3)};
+          tombstones_[std::string(shard.key())][std::string(job.key())].push_back(tombstone);
         }
     for (const auto& [name, _] : tombstones_) apply_tombstones(name);
   }
--- a/tests/assignments/single_partition.hpp
+++ b/tests/assignments/single_partition.hpp
@@ -1,4 +1,4 @@
-// A world with one partition that we own, for tests of its records.
+// A controller that leads one partition, for tests of its records.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -8,54 +8,60 @@
 namespace finchrun::assignments {
 
 inline config::Settings single_partition_settings() {
-  config::Settings s;
-  s.label = "perch-0";
-  s.zone = "a";
-  s.zones = {"a"};
-  s.teams = {{"red", 0, 0, 400, 800}};
-  return s;
+  config::Settings settings;
+  settings.label = "perch-0";
+  settings.zone = "a";
+  settings.zones = {"a"};
+  settings.teams = {{"red", 0, 0, 400, 800}};
+  return settings;
 }
 
-// The part "a.0"; machines host-100000, host-100001, ...
+/// Leads partition "a.0"; its machines are host-100000, host-100001, ...
 struct SinglePartition {
-  explicit SinglePartition(const config::Settings& s = single_partition_settings()) : w(s, {}) {
-    w.loaded = true;
-    w.incarnation = 7;
-    w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
-    w.cache.synchronized(40);
+  explicit SinglePartition(const config::Settings& settings = single_partition_settings())
+      : state(settings, {}) {
+    state.loaded = true;
+    state.incarnation = 7;
+    state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
+    state.cache.synchronized(40);
   }
+  /// Accepts a job, all of whose tasks belong to the partition.
   core::JobId job(const std::string& name, std::uint32_t tasks, jobs::Shape shape) {
-    jobs::JobRecord r;
-    r.spec.job_class = w.names.job_classes.intern("lane");
-    r.spec.team = core::TeamId{0};
-    r.spec.image = w.names.images.intern("img");
-    r.spec.shape = shape;
-    r.spec.tasks = tasks;
-    r.ranges = {{0, tasks, partition}};
-    w.cache.apply({"jobs/" + name, jobs::to_json(r, w.names), ++revision});
-    return *w.names.jobs.find(name);
+    jobs::JobRecord record;
+    record.spec.job_class = state.names.job_classes.intern("lane");
+    record.spec.team = core::TeamId{0};
+    record.spec.image = state.names.images.intern("img");
+    record.spec.shape = shape;
+    record.spec.tasks = tasks;
+    record.ranges = {{0, tasks, partition}};
+    state.cache.apply({"jobs/" + name, jobs::to_json(record, state.names), ++revision});
+    return *state.names.jobs.find(name);
   }
   core::JobId job(const std::string& name, std::uint32_t tasks, bool gang) {
     return job(name, tasks, gang ? jobs::Shape::gang : jobs::Shape::array);
   }
-  std::vector<jobs::TaskAssignment> assignments(std::uint32_t n, std::uint64_t attempt) {
-    std::vector<jobs::TaskAssignment> out;
-    for (std::uint32_t i = 0; i < n; ++i)
-      out.push_back({i, attempt, w.names.machines.intern("host-" + std::to_string(100000 + i)), 1});
-    return out;
+  /// The first tasks, each on a machine of its own.
+  std::vector<jobs::TaskAssignment> assignments(std::uint32_t tasks, std::uint64_t attempt) {
+    std::vector<jobs::TaskAssignment> assignments;
+    for (std::uint32_t task = 0; task < tasks; ++task)
+      assignments.push_back(
+          {task, attempt, state.names.machines.intern("host-" + std::to_string(100000 + task)), 1});
+    return assignments;
   }
-  void apply(const PlannedTransaction& e) {
+  /// Makes the transaction durable.
+  void apply(const PlannedTransaction& transaction) {
     ++revision;
-    for (const auto& c : e.writes) w.cache.apply({c.key, c.value, revision});
+    for (const auto& write : transaction.writes) state.cache.apply({write.key, write.value, revision});
   }
-  ControllerState w;
+  ControllerState state;
   core::PartitionId partition{0};
   std::uint64_t revision = 50;
 };
 
-inline std::size_t largest_value(const PlannedTransaction& e) {
+inline std::size_t largest_value(const PlannedTransaction& transaction) {
   std::size_t most = 0;
-  for (const auto& c : e.writes) most = std::max(most, boost::json::serialize(*c.value).size());
+  for (const auto& write : transaction.writes)
+    most = std::max(most, boost::json::serialize(*write.value).size());
   return most;
 }
 
--- a/tests/assignments/upgrade.hpp
+++ b/tests/assignments/upgrade.hpp
@@ -11,44 +11,48 @@
 
 inline constexpr std::uint64_t kAttempt = 1234567;  // as long as they become in a few days
 
+/// Controllers before and after an upgrade that lowers the limits, on one store.
 struct Upgrade {
   explicit Upgrade(const config::StateLimits& limits) : Upgrade(with(limits)) {}
   explicit Upgrade(const config::Settings& settings) : after(settings) {}
   static config::Settings with(const config::StateLimits& limits) {
-    auto s = single_partition_settings();
-    s.state_limits = limits;
-    return s;
+    auto settings = single_partition_settings();
+    settings.state_limits = limits;
+    return settings;
   }
-  // Makes the edit durable: whoever reads the store sees it, in the order of the keys or the reverse.
+  /// Makes the writer's transaction durable: whoever reads the store sees it, in the order of the keys or the
+  /// reverse.
   void commit(AssignmentWriter& writer) {
-    PlannedTransaction e;
-    writer.finish(e);
+    PlannedTransaction transaction;
+    writer.finish(transaction);
     ++revision;
-    for (const auto& c : e.writes) store[c.key] = {c.key, c.value, revision};
-    for (auto* world : {&before, &after})
-      for (const auto& c : e.writes) world->w.cache.apply({c.key, c.value, revision});
-    auto reversed = e.writes;
+    for (const auto& write : transaction.writes) store[write.key] = {write.key, write.value, revision};
+    for (auto* controller : {&before, &after})
+      for (const auto& write : transaction.writes)
+        controller->state.cache.apply({write.key, write.value, revision});
+    auto reversed = transaction.writes;
     std::reverse(reversed.begin(), reversed.end());
-    for (const auto& c : e.writes) shards_first.read({c.key, c.value, revision});
-    for (const auto& c : reversed) ends_first.read({c.key, c.value, revision});
-    changes = e.writes.size();
-    largest = largest_value(e);
-    for (const auto& c : e.writes)
-      if (c.key.starts_with("runs/"))
-        largest_shard = std::max(largest_shard, boost::json::serialize(*c.value).size());
+    for (const auto& write : transaction.writes) shards_first.read({write.key, write.value, revision});
+    for (const auto& write : reversed) tombstones_first.read({write.key, write.value, revision});
+    writes = transaction.writes.size();
+    largest = largest_value(transaction);
+    for (const auto& write : transaction.writes)
+      if (write.key.starts_with("runs/"))
+        largest_shard = std::max(largest_shard, boost::json::serialize(*write.value).size());
   }
   core::JobId job(const std::string& name, std::uint32_t tasks, bool gang = false) {
     before.revision = after.revision = ++revision;
     after.job(name, tasks, gang);
-    store["jobs/" + name] = {"jobs/" + name,
-                             jobs::to_json(*after.w.cache.job(*after.w.names.jobs.find(name)), after.w.names),
-                             revision};
+    store["jobs/" + name] = {
+        "jobs/" + name,
+        jobs::to_json(*after.state.cache.job(*after.state.names.jobs.find(name)), after.state.names),
+        revision};
     return before.job(name, tasks, gang);
   }
-  // What a controller knows that starts now and reads the store.
+  /// What a controller knows that starts now and reads the store.
   [[nodiscard]] std::unique_ptr<ControllerState> fresh_reader() const {
     auto reader = std::make_unique<ControllerState>(single_partition_settings(), config::Tuning{});
-    for (const auto& [_, e] : store) reader->cache.apply(e);
+    for (const auto& [_, update] : store) reader->cache.apply(update);
     return reader;
   }
   [[nodiscard]] std::pair<std::uint32_t, std::uint32_t> done_and_placed(const std::string& name) const {
@@ -60,11 +64,11 @@
     return {reader.cache.done(id), reader.cache.placed(id)};
   }
   SinglePartition before, after;
-  ProductionReader shards_first{before.w.names}, ends_first{before.w.names};
+  ProductionReader shards_first{before.state.names}, tombstones_first{before.state.names};
   std::map<std::string, state::KeyUpdate> store;
   std::uint64_t revision = 100;
-  std::size_t changes = 0, largest = 0;  // of the last edit
-  std::size_t largest_shard = 0;         // of all
+  std::size_t writes = 0, largest = 0;  // of the last transaction
+  std::size_t largest_shard = 0;        // of all transactions
 };
 
 }  // namespace finchrun::assignments
