--- a/src/assignments/exit_recorder.hpp
+++ b/src/assignments/exit_recorder.hpp
@@ -1,7 +1,10 @@
 // Observed exits become records: what has ended, what is done, which jobs are over.
 #pragma once
 
-#include "assignments/assignment_writer.hpp"
+#include <string>
+#include <vector>
+
+#include "assignments/planned_transaction.hpp"
 #include "controller/runtime.hpp"
 #include "coordination/state_follower.hpp"
 #include "state/key_value_store.hpp"
@@ -22,6 +25,12 @@
   asio::awaitable<void> flush();
 
  private:
+  struct PartitionTransaction {
+    std::string partition;  // its name
+    PlannedTransaction transaction;
+  };
+  std::vector<PartitionTransaction> plan();
+
   controller::SharedState& state_;
   state::KeyValueStore& store_;
   coordination::StateFollower& follower_;
--- /dev/null
+++ b/src/assignments/open_shards.cpp
@@ -0,0 +1,127 @@
+#include "assignments/open_shards.hpp"
+
+namespace finchrun::assignments {
+
+namespace json = boost::json;
+
+OpenShards::OpenShards(const ControllerState& state, core::PartitionId partition,
+                       PlannedTombstones& tombstones, std::size_t max_shards)
+    : state_(state),
+      partition_(partition),
+      tombstones_(tombstones),
+      max_shards_(max_shards),
+      max_bytes_(state.settings.state_limits.value_bytes()) {}
+
+OpenShard* OpenShards::find(const std::string& name) {
+  const auto shard = shards_.find(name);
+  return shard == shards_.end() ? nullptr : &shard->second;
+}
+
+ShardContents OpenShards::contents(core::ShardId id) const {
+  ShardContents contents;
+  const auto& shard = state_.cache.shard(id);
+  for (const auto job_id : shard.jobs) {
+    const auto* stored = state_.cache.run(job_id, id);
+    const auto* job = state_.cache.job(job_id);
+    const bool over = job && job->status != jobs::Status::live;
+    if (!stored || (over && stored->assignments.empty())) continue;
+    auto& held = contents[job_id] = *stored;
+    tombstones_.apply_to(shard.name, job_id, held);
+  }
+  return contents;
+}
+
+bool OpenShards::fits(core::ShardId shard) const {
+  return state_.cache.shard(shard).bytes <= max_bytes_ ||
+         bytes_at_most(contents(shard), state_.names) <= max_bytes_;
+}
+
+OpenShard* OpenShards::open(const std::string& name) {
+  if (auto* shard = find(name)) return shard;
+  if (shards_.size() >= max_shards_) return nullptr;
+  const auto id = state_.cache.find_shard(partition_, name);
+  if (!id) return &shards_[name];
+  auto jobs = contents(*id);
+  const auto bytes = bytes_at_most(jobs, state_.names);
+  if (bytes > max_bytes_) return nullptr;
+  if (!tombstones_.too_long()) tombstones_.drop(name);
+  auto& shard = shards_[name];
+  shard = {state_.cache.shard(*id).revision, bytes, std::move(jobs)};
+  return &shard;
+}
+
+void OpenShards::replace(core::ShardId id, std::vector<ShardContents> contents) {
+  const auto& shard = state_.cache.shard(id);
+  shards_[shard.name] = {shard.revision, 0, std::move(contents.front())};
+  for (std::size_t i = 1; i < contents.size(); ++i) shards_[unused_name()].jobs = std::move(contents[i]);
+}
+
+std::string OpenShards::unused_name() const {
+  for (std::size_t number = 0;; ++number) {
+    auto name = std::to_string(number);
+    const auto known = state_.cache.find_shard(partition_, name);
+    if (!contains(name) && (!known || state_.cache.shard(*known).revision == 0)) return name;
+  }
+}
+
+// A job that has left a shard may not come back while stored tombstones that can't be rewritten name it
+// there: they would be taken for its own once more.
+bool OpenShards::may_hold(const std::string& name, core::JobId job) const {
+  if (!tombstones_.too_long() || !state_.cache.tombstones(partition_).of(name).contains(job)) return true;
+  const auto shard = state_.cache.find_shard(partition_, name);
+  return shard && state_.cache.run(job, *shard);
+}
+
+OpenShard* OpenShards::with_room(core::JobId job, std::size_t bytes) {
+  if (auto* shard = open_with_room(job, bytes)) return shard;
+  if (shards_.size() >= max_shards_) return nullptr;
+  const auto known = known_with_room(job, bytes);
+  return open(known.empty() ? unused_name() : known);
+}
+
+// One that is written anyway, best the one that has the job already.
+OpenShard* OpenShards::open_with_room(core::JobId job, std::size_t bytes) {
+  OpenShard* best = nullptr;
+  for (auto& [name, shard] : shards_) {
+    if (shard.bytes + bytes > max_bytes_ || !may_hold(name, job)) continue;
+    if (!best || shard.jobs.contains(job)) best = &shard;
+  }
+  return best;
+}
+
+// The one with most tombstones, since writing it shortens their list; of those the fullest with room, so that
+// what is new stays together. Empty if none has room.
+std::string OpenShards::known_with_room(core::JobId job, std::size_t bytes) const {
+  std::string choice;
+  std::pair<std::size_t, std::size_t> best{0, 0};  // tombstones, bytes
+  for (const auto id : state_.cache.shards(partition_)) {
+    const auto& shard = state_.cache.shard(id);
+    if (contains(shard.name) || !may_hold(shard.name, job)) continue;
+    const std::pair score{tombstones_.count(shard.name), shard.bytes};
+    if (shard.bytes + bytes > max_bytes_ || score < best) continue;
+    best = score;
+    choice = shard.name;
+  }
+  return choice;
+}
+
+std::uint32_t OpenShards::done(core::JobId job) const {
+  std::uint32_t done = 0;
+  for (const auto& [_, shard] : shards_)
+    if (const auto held = shard.jobs.find(job); held != shard.jobs.end()) done += held->second.done.size();
+  return done;
+}
+
+void OpenShards::write_to(PlannedTransaction& transaction) const {
+  const auto& partition = state_.names.partitions.name(partition_);
+  for (const auto& [name, shard] : shards_) {
+    const auto key = state::keys::shard(partition, name);
+    transaction.require(key, shard.revision);
+    json::object jobs;
+    for (const auto& [job, held] : shard.jobs)
+      if (!held.empty()) jobs[state_.names.jobs.name(job)] = jobs::to_json(held, state_.names);
+    transaction.writes.push_back({key, json::object{{"jobs", std::move(jobs)}}});
+  }
+}
+
+}  // namespace finchrun::assignments
--- /dev/null
+++ b/src/assignments/planned_transaction.cpp
@@ -0,0 +1,12 @@
+#include "assignments/planned_transaction.hpp"
+
+#include <algorithm>
+
+namespace finchrun::assignments {
+
+void PlannedTransaction::require(const std::string& key, std::uint64_t revision) {
+  if (std::none_of(compares.begin(), compares.end(), [&](const auto& compare) { return compare.key == key; }))
+    compares.push_back({key, revision});
+}
+
+}  // namespace finchrun::assignments
--- a/src/assignments/shard_split.cpp
+++ b/src/assignments/shard_split.cpp
@@ -3,38 +3,21 @@
 namespace finchrun::assignments {
 namespace {
 
-// Fills one shard after the other.
+/// Fills one shard after the other, the one that is split first.
 class ShardFiller {
  public:
+  /// `first`: what the shard that is split holds from the start.
   ShardFiller(ShardContents first, std::size_t max_bytes, const jobs::Names& names)
       : names_(names), max_bytes_(max_bytes), bytes_(bytes_at_most(first, names)) {
     shards_.push_back(std::move(first));
   }
-  // Puts one thing of the job into the newest shard, or into one more if that is full.
-  template <class Add>
-  void put(core::JobId id, Add&& add) {
-    auto& newest = shards_.back();
-    const auto known = newest.find(id);
-    auto run = known == newest.end() ? jobs::JobAssignments{} : known->second;
-    const auto before = known == newest.end() ? 0 : jobs::bytes_at_most(run, names_);
-    add(run);
-    const auto bytes = bytes_ + jobs::bytes_at_most(run, names_) - before;
-    if (bytes <= max_bytes_) {
-      bytes_ = bytes;
-      newest[id] = std::move(run);
-      return;
-    }
-    next_shard();
-    add(shards_.back()[id]);
-    bytes_ = bytes_at_most(shards_.back(), names_);
-  }
-  void put_done(core::JobId id, const jobs::Intervals& done) {
+  void put_done(core::JobId job, const jobs::Intervals& done) {
     for (const auto& span : done.spans())
-      put(id, [&](jobs::JobAssignments& to) { to.done.add(span.first, span.second); });
+      put(job, [&](jobs::JobAssignments& held) { held.done.add(span.first, span.second); });
   }
-  void put_assignments(core::JobId id, const std::vector<jobs::TaskAssignment>& assignments) {
+  void put_assignments(core::JobId job, const std::vector<jobs::TaskAssignment>& assignments) {
     for (const auto& assignment : assignments)
-      put(id, [&](jobs::JobAssignments& to) { to.assignments.push_back(assignment); });
+      put(job, [&](jobs::JobAssignments& held) { held.assignments.push_back(assignment); });
   }
   void next_shard() {
     shards_.emplace_back();
@@ -43,17 +26,36 @@
   [[nodiscard]] std::vector<ShardContents> take() { return std::move(shards_); }
 
  private:
+  // Puts one span or assignment of the job into the newest shard, or into one more if that is full.
+  template <class Add>
+  void put(core::JobId job, Add&& add) {
+    auto& newest = shards_.back();
+    const auto known = newest.find(job);
+    auto held = known == newest.end() ? jobs::JobAssignments{} : known->second;
+    const auto before = known == newest.end() ? 0 : jobs::bytes_at_most(held, names_);
+    add(held);
+    const auto bytes = bytes_ + jobs::bytes_at_most(held, names_) - before;
+    if (bytes <= max_bytes_) {
+      bytes_ = bytes;
+      newest[job] = std::move(held);
+      return;
+    }
+    next_shard();
+    add(shards_.back()[job]);
+    bytes_ = bytes_at_most(shards_.back(), names_);
+  }
+
   const jobs::Names& names_;
-  std::size_t max_bytes_, bytes_;
+  std::size_t max_bytes_, bytes_;  // bytes_: of the newest shard
   std::vector<ShardContents> shards_;
 };
 
-// What the shard that is split begins with.
+// The done tasks that may not move to another shard.
 ShardContents done_that_stays(const ShardContents& contents, const SplitRules& rules) {
   ShardContents first;
-  for (const auto id : rules.done_stays)
-    if (const auto job = contents.find(id); job != contents.end() && !job->second.done.spans().empty())
-      first[id].done = job->second.done;
+  for (const auto job : rules.done_stays)
+    if (const auto held = contents.find(job); held != contents.end() && !held->second.done.spans().empty())
+      first[job].done = held->second.done;
   return first;
 }
 
@@ -61,7 +63,7 @@
 
 std::size_t bytes_at_most(const ShardContents& contents, const jobs::Names& names) {
   std::size_t bytes = 0;
-  for (const auto& [_, run] : contents) bytes += jobs::bytes_at_most(run, names);
+  for (const auto& [_, held] : contents) bytes += jobs::bytes_at_most(held, names);
   return bytes;
 }
 
@@ -69,23 +71,23 @@
                                                       const jobs::Names& names) {
   auto first = done_that_stays(contents, rules);
   if (bytes_at_most(first, names) > rules.max_bytes) return std::nullopt;
-  ShardFiller spreader(std::move(first), rules.max_bytes, names);
+  ShardFiller filler(std::move(first), rules.max_bytes, names);
   bool some_leave = false;
-  for (const auto& [id, run] : contents) {
-    if (rules.must_leave.contains(id)) {
+  for (const auto& [job, held] : contents) {
+    if (rules.must_leave.contains(job)) {
       some_leave = true;
       continue;
     }
-    if (!rules.done_stays.contains(id)) spreader.put_done(id, run.done);
-    spreader.put_assignments(id, run.assignments);
+    if (!rules.done_stays.contains(job)) filler.put_done(job, held.done);
+    filler.put_assignments(job, held.assignments);
   }
-  if (some_leave) spreader.next_shard();
-  for (const auto& [id, run] : contents) {
-    if (!rules.must_leave.contains(id)) continue;
-    spreader.put_done(id, run.done);
-    spreader.put_assignments(id, run.assignments);
+  if (some_leave) filler.next_shard();
+  for (const auto& [job, held] : contents) {
+    if (!rules.must_leave.contains(job)) continue;
+    filler.put_done(job, held.done);
+    filler.put_assignments(job, held.assignments);
   }
-  auto shards = spreader.take();
+  auto shards = filler.take();
   if (shards.size() > rules.max_shards) return std::nullopt;
   return shards;
 }
--- a/tests/assignments/assignment_writer_test.cpp
+++ b/tests/assignments/assignment_writer_test.cpp
@@ -2,6 +2,7 @@
 
 #include <gtest/gtest.h>
 
+#include "assignments/exit_plan.hpp"
 #include "assignments/single_partition.hpp"
 #include "scheduling/waiting_tasks.hpp"
 
@@ -47,7 +48,7 @@
   for (std::uint32_t round = 0; round < 8; ++round) {
     AssignmentWriter writer(leader.state, leader.partition);
     for (std::uint32_t task = 0; task < GetParam().tasks; task += 2)
-      writer.apply_tombstones({id, leader.partition, task, 9, true});
+      writer.record_exit({id, leader.partition, task, 9, true});
     PlannedTransaction transaction;
     writer.finish(transaction);
     EXPECT_LE(largest_value(transaction), 8192u);
@@ -78,7 +79,7 @@
   }
   {
     AssignmentWriter writer(leader.state, leader.partition);
-    writer.apply_tombstones({over, leader.partition, 0, 9, true});
+    writer.record_exit({over, leader.partition, 0, 9, true});
     EXPECT_EQ(writer.done(over), 1u);
     PlannedTransaction transaction;
     writer.finish(transaction);
@@ -124,10 +125,10 @@
   }
   ASSERT_GT(leader.state.cache.shards(leader.partition).size(), 10u);
   AssignmentWriter writer(leader.state, leader.partition);
-  for (const auto id : ids) EXPECT_TRUE(writer.apply_tombstones({id, leader.partition, 7, 9, true}));
-  EXPECT_TRUE(writer.apply_tombstones(
-      {ids[0], leader.partition, 8, 9, false}));  // seen as gone, and as done after all
-  EXPECT_TRUE(writer.apply_tombstones({ids[0], leader.partition, 8, 9, true}));
+  for (const auto id : ids) EXPECT_TRUE(writer.record_exit({id, leader.partition, 7, 9, true}));
+  EXPECT_TRUE(
+      writer.record_exit({ids[0], leader.partition, 8, 9, false}));  // seen as gone, and as done after all
+  EXPECT_TRUE(writer.record_exit({ids[0], leader.partition, 8, 9, true}));
   EXPECT_EQ(writer.done(ids[0]), 2u);
   PlannedTransaction transaction;
   writer.finish(transaction);
@@ -175,7 +176,7 @@
   for (std::uint32_t t = 0; t < 300; t += 3) {
     AssignmentWriter writer(leader.state, leader.partition);
     for (std::uint32_t i = t; i < t + 3; ++i)
-      EXPECT_TRUE(writer.apply_tombstones({id, leader.partition, i, 9, i % 2 == 0}));
+      EXPECT_TRUE(writer.record_exit({id, leader.partition, i, 9, i % 2 == 0}));
     if (t % 30 == 0) {
       auto assignment = leader.assignments(t + 1, 20 + t);
       ASSERT_TRUE(writer.add(other, {assignment.back()}));
@@ -212,7 +213,7 @@
   std::uint64_t seen = 0;
   for (std::uint32_t t = 0; t < 2; ++t) {
     AssignmentWriter writer(leader.state, leader.partition);
-    writer.apply_tombstones({id, leader.partition, t, 9, true});
+    writer.record_exit({id, leader.partition, t, 9, true});
     PlannedTransaction transaction;
     writer.finish(transaction);
     const auto it = std::find_if(transaction.compares.begin(), transaction.compares.end(),
--- a/tests/assignments/limits_test.cpp
+++ b/tests/assignments/limits_test.cpp
@@ -47,7 +47,7 @@
   for (const auto id : ids) {
     AssignmentWriter writer(upgrade.before.state, upgrade.before.partition);
     for (std::uint32_t t = 0; t < kTasks; t += each)
-      writer.apply_tombstones({id, upgrade.before.partition, t, kAttempt, true});
+      writer.record_exit({id, upgrade.before.partition, t, kAttempt, true});
     upgrade.commit(writer);
   }
   const std::uint32_t done = (kTasks + each - 1) / each;
@@ -79,14 +79,14 @@
   }
   for (const auto id : ids) {
     AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
-    ASSERT_TRUE(writer.apply_tombstones({id, upgrade.after.partition, kTasks, kAttempt + 1, false}));
+    ASSERT_TRUE(writer.record_exit({id, upgrade.after.partition, kTasks, kAttempt + 1, false}));
     upgrade.commit(writer);
   }
   // The rest exits too, and is recorded within the limits.
   for (std::uint32_t t = 0; t < kTasks; ++t)
     for (const auto id : ids) {
       AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
-      ASSERT_TRUE(writer.apply_tombstones({id, upgrade.after.partition, t, kAttempt, true}));
+      ASSERT_TRUE(writer.record_exit({id, upgrade.after.partition, t, kAttempt, true}));
       if (writer.touched() == 0) continue;
       upgrade.commit(writer);
       expect_within(upgrade);
@@ -124,7 +124,7 @@
   for (std::uint32_t t = 0; t < kTasks; t += GetParam().exited_each, ++done)
     for (const auto id : ids) {
       AssignmentWriter writer(upgrade.before.state, upgrade.before.partition);
-      ASSERT_TRUE(writer.apply_tombstones({id, upgrade.before.partition, t, kAttempt, true}));
+      ASSERT_TRUE(writer.record_exit({id, upgrade.before.partition, t, kAttempt, true}));
       upgrade.commit(writer);
     }
   const int steps = shrink();
@@ -188,7 +188,7 @@
   }
   for (std::uint32_t t = 0; t < 140; ++t) {
     AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
-    if (!writer.shrink()) writer.apply_tombstones({id, upgrade.after.partition, t, kAttempt, true});
+    if (!writer.shrink()) writer.record_exit({id, upgrade.after.partition, t, kAttempt, true});
     if (writer.touched() == 0) continue;
     upgrade.commit(writer);
     EXPECT_LE(upgrade.largest, 1024u);
@@ -211,7 +211,7 @@
     AssignmentWriter writer(upgrade.before.state, upgrade.before.partition);
     for (std::uint32_t t = 0; t < 98; t += 2)
       for (const auto job : {id, other, third})
-        writer.apply_tombstones({job, upgrade.before.partition, t, kAttempt, true});
+        writer.record_exit({job, upgrade.before.partition, t, kAttempt, true});
     upgrade.commit(writer);
   }
   ASSERT_TRUE(AssignmentWriter(upgrade.after.state, upgrade.after.partition).tombstones_too_long());
@@ -224,7 +224,7 @@
   }
   AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
   EXPECT_FALSE(writer.tombstones_too_long());
-  ASSERT_TRUE(writer.apply_tombstones({id, upgrade.after.partition, 1, kAttempt, true}));
+  ASSERT_TRUE(writer.record_exit({id, upgrade.after.partition, 1, kAttempt, true}));
   upgrade.commit(writer);
   EXPECT_LE(upgrade.largest, 2048u);
   EXPECT_EQ(upgrade.done_and_placed("req-1"), std::pair(50u, 50u));
--- /dev/null
+++ b/tests/assignments/planned_tombstones_test.cpp
@@ -0,0 +1,105 @@
+#include "assignments/planned_tombstones.hpp"
+
+#include <gtest/gtest.h>
+
+#include "assignments/single_partition.hpp"
+
+namespace finchrun::assignments {
+namespace {
+
+struct TombstoneCase {
+  const char* name;
+  std::optional<jobs::Shape> shape;  // nothing: the job's record is not known
+  bool done;
+  jobs::Intervals::Span expected;
+};
+class TombstoneOf : public testing::TestWithParam<TombstoneCase> {};
+TEST_P(TombstoneOf, MarksWhatTheExitCompletes) {
+  jobs::JobRecord job;
+  job.spec.tasks = 16;
+  if (GetParam().shape) job.spec.shape = *GetParam().shape;
+  const agent::ObservedExit exit{core::JobId{1}, core::PartitionId{0}, 3, 9, GetParam().done};
+  const state::Tombstone expected{3, 9, GetParam().expected};
+  EXPECT_EQ(tombstone_of(exit, GetParam().shape ? &job : nullptr), expected);
+}
+INSTANTIATE_TEST_SUITE_P(
+    Table, TombstoneOf,
+    testing::Values(TombstoneCase{"task_of_an_array_done", jobs::Shape::array, true, {3, 4}},
+                    TombstoneCase{"task_of_an_array_lost", jobs::Shape::array, false, {0, 0}},
+                    TombstoneCase{"gang_done_as_a_whole", jobs::Shape::gang, true, {0, 16}},
+                    TombstoneCase{"gang_lost", jobs::Shape::gang, false, {0, 0}},
+                    TombstoneCase{"replica_of_a_service_is_never_done", jobs::Shape::standing, true, {0, 0}},
+                    TombstoneCase{"unknown_job", std::nullopt, true, {3, 4}}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+TEST(PlannedTombstones, CountsWhatStandsInTheListAndForgetsWhatIsDropped) {
+  SinglePartition leader;
+  const auto first = leader.job("req-1", 100, false), second = leader.job("req-2", 100, false);
+  PlannedTombstones tombstones(leader.state, leader.partition);
+  EXPECT_EQ(tombstones.longest(), std::nullopt);
+  tombstones.add("0", first, {7, 9, {7, 8}});
+  const auto bytes_of_shard_0 = tombstones.bytes();
+  tombstones.add("1", first, {8, 9, {8, 9}});
+  tombstones.add("1", second, {8, 9, {0, 0}});
+  EXPECT_EQ(tombstones.count("0"), 1u);
+  EXPECT_EQ(tombstones.count("1"), 2u);
+  EXPECT_EQ(tombstones.longest(), "1");
+  PlannedTransaction transaction;
+  tombstones.write_to(transaction);
+  EXPECT_GE(tombstones.bytes(), largest_value(transaction)) << "the estimate is an upper bound";
+  tombstones.drop("1");
+  EXPECT_EQ(tombstones.bytes(), bytes_of_shard_0);
+  tombstones.drop("0");
+  EXPECT_EQ(tombstones.bytes(), 0u);
+  EXPECT_TRUE(tombstones.changed());
+}
+
+TEST(PlannedTombstones, AreTakenIntoTheirShardAndJobOnly) {
+  SinglePartition leader;
+  const auto job = leader.job("req-1", 4, false), other = leader.job("req-2", 4, false);
+  PlannedTombstones tombstones(leader.state, leader.partition);
+  tombstones.add("0", job, {1, 9, {1, 2}});
+  const jobs::JobAssignments placed{leader.assignments(4, 9), {}};
+  auto named = placed, in_other_shard = placed, of_other_job = placed;
+  tombstones.apply_to("0", job, named);
+  tombstones.apply_to("1", job, in_other_shard);
+  tombstones.apply_to("0", other, of_other_job);
+  EXPECT_EQ(named.assignments.size(), 3u);
+  EXPECT_EQ(named.done.size(), 1u);
+  EXPECT_EQ(in_other_shard, placed);
+  EXPECT_EQ(of_other_job, placed);
+}
+
+TEST(PlannedTombstones, HaveRoomUpToTheLimitOnValues) {
+  auto settings = single_partition_settings();
+  settings.state_limits = {100, 20, 1, 5};
+  SinglePartition leader(settings);
+  const auto job = leader.job("req-1", 200, false);
+  PlannedTombstones tombstones(leader.state, leader.partition);
+  std::uint32_t task = 0;
+  for (; task < 200 && tombstones.has_room("0", job, {task, 9, {task, task + 1}}); ++task)
+    tombstones.add("0", job, {task, 9, {task, task + 1}});
+  EXPECT_GT(task, 20u);
+  EXPECT_LT(task, 200u);
+  EXPECT_LE(tombstones.bytes(), 1024u);
+  EXPECT_FALSE(tombstones.too_long());
+}
+
+TEST(PlannedTombstones, AreNotWrittenUnchanged) {
+  SinglePartition leader;
+  PlannedTransaction transaction;
+  PlannedTombstones(leader.state, leader.partition).write_to(transaction);
+  EXPECT_TRUE(transaction.writes.empty());
+  EXPECT_TRUE(transaction.compares.empty());
+}
+
+TEST(PlannedTransaction, ComparesEachKeyOnce) {
+  PlannedTransaction transaction;
+  transaction.require("parts/a.0", 40);
+  transaction.require("fence/a.0", 0);
+  transaction.require("parts/a.0", 40);
+  EXPECT_EQ(transaction.compares.size(), 2u);
+}
+
+}  // namespace
+}  // namespace finchrun::assignments
--- a/tests/assignments/record_history_test.cpp
+++ b/tests/assignments/record_history_test.cpp
@@ -93,8 +93,8 @@
       for (auto it = job.placed.begin(); it != job.placed.end();) {
         const bool done = draw(5) != 0;
         const auto [task, attempt] = *it;
-        if (draw(12) != 0 || !writer.apply_tombstones({*leader.state.names.jobs.find(job.name),
-                                                       leader.partition, task, attempt, done})) {
+        if (draw(12) != 0 || !writer.record_exit({*leader.state.names.jobs.find(job.name), leader.partition,
+                                                  task, attempt, done})) {
           ++it;
           continue;
         }
