--- a/src/sched/distribute.cpp
+++ b/src/sched/distribute.cpp
@@ -8,73 +8,117 @@
 namespace finchrun::sched {
 namespace {
 
+// The parts of `suitability`: what counts is which of two partitions has more.
+constexpr double kRoomScore = 100;  // for room for all tasks now
+constexpr double kImageScore = 10;  // an image that is there decides between partitions with like room
+constexpr double kSpareScore = 5;   // decides between partitions that are all full, or all free enough
+constexpr double kNoCapacityScore = -1000;  // tasks would wait there until machines come
+
+// How many tasks fit beside what waits there already; below 0: even that does not fit.
+double spare(const PartitionCapacity& partition) { return partition.free - partition.backlog; }
+
+// A partition without machines still counts a little, since machines may come.
+double capacity_of(const PartitionCapacity& partition) { return std::max(1.0, partition.capacity); }
+
 // How good the partition is for so many tasks at once; higher is better.
-double suits(const PartitionCapacity& p, double tasks) {
-  const double spare = p.free - p.backlog;
-  double score = std::min(spare, tasks) / std::max(1.0, tasks) * 100;
-  if (p.has_image) score += 10;
+double suitability(const PartitionCapacity& partition, double tasks) {
+  double score = std::min(spare(partition), tasks) / std::max(1.0, tasks) * kRoomScore;
+  if (partition.has_image) score += kImageScore;
   // Between partitions that are all full (or all free enough): the one whose queue is shortest for its size.
-  score += 5 * (spare / std::max(1.0, p.capacity));
-  if (p.capacity <= 0) score -= 1000;
+  score += kSpareScore * (spare(partition) / capacity_of(partition));
+  if (partition.capacity <= 0) score += kNoCapacityScore;
   return score;
 }
 
+std::vector<PartitionCapacity> allowed_partitions(const std::vector<PartitionCapacity>& partitions) {
+  std::vector<PartitionCapacity> allowed;
+  for (const auto& partition : partitions)
+    if (partition.allowed) allowed.push_back(partition);
+  return allowed.empty() ? partitions : allowed;
+}
+
+// Shares of a job's tasks, given out step by step under the job's cap for each zone.
+class TaskShares {
+ public:
+  explicit TaskShares(std::uint32_t tasks) : left_(tasks) {}
+
+  [[nodiscard]] std::uint32_t left() const { return left_; }
+  [[nodiscard]] std::uint32_t of(core::PartitionId partition) { return shares_[partition]; }
+  // Gives the partition up to `wanted` more, as far as tasks are left and its zone may take them.
+  void give(const PartitionCapacity& partition, double wanted, std::uint32_t zone_cap) {
+    auto& in_zone = in_zone_[partition.zone];
+    const auto zone_room = zone_cap - std::min(zone_cap, in_zone);
+    const auto count =
+        std::min({left_, zone_room, static_cast<std::uint32_t>(std::max(0.0, std::floor(wanted)))});
+    shares_[partition.partition] += count;
+    in_zone += count;
+    left_ -= count;
+  }
+  // Gives the partition all that is left, whatever its zone may take.
+  void give_rest(core::PartitionId partition) {
+    if (left_ > 0) shares_[partition] += left_;
+    left_ = 0;
+  }
+  [[nodiscard]] std::vector<jobs::Range> ranges() const {
+    std::vector<jobs::Range> ranges;
+    std::uint32_t from = 0;
+    for (const auto& [partition, count] : shares_) {
+      if (count == 0) continue;
+      ranges.push_back({from, from + count, partition});
+      from += count;
+    }
+    return ranges;
+  }
+
+ private:
+  std::uint32_t left_;
+  std::map<core::PartitionId, std::uint32_t> shares_;
+  std::map<core::ZoneId, std::uint32_t> in_zone_;
+};
+
+// An equal part of the tasks for each zone, rounded up.
+std::uint32_t even_zone_cap(const jobs::JobSpec& spec, const std::vector<PartitionCapacity>& partitions) {
+  std::set<core::ZoneId> zones;
+  for (const auto& partition : partitions) zones.insert(partition.zone);
+  const auto count = static_cast<std::uint32_t>(zones.size());
+  return std::min(spec.zone_cap(), (spec.tasks + count - 1) / count);
+}
+
 }  // namespace
 
 std::vector<jobs::Range> distribute(const jobs::JobSpec& spec,
-                                    const std::vector<PartitionCapacity>& partitions) {
-  std::vector<PartitionCapacity> open;
-  for (const auto& p : partitions)
-    if (p.allowed) open.push_back(p);
-  if (open.empty()) open = partitions;
-
+                                    const std::vector<PartitionCapacity>& all_partitions) {
+  auto partitions = allowed_partitions(all_partitions);
   if (spec.gang() || spec.one_zone) {
-    const auto best = std::max_element(open.begin(), open.end(),
+    const auto best = std::max_element(partitions.begin(), partitions.end(),
                                        [&](const PartitionCapacity& a, const PartitionCapacity& b) {
-                                         return suits(a, spec.tasks) < suits(b, spec.tasks);
+                                         return suitability(a, spec.tasks) < suitability(b, spec.tasks);
                                        });
     return {{0, spec.tasks, best->partition}};
   }
   // Task by task in effect, but computed by levels: first the room that is free, then by capacity.
-  std::map<core::PartitionId, std::uint32_t> share;
-  std::map<core::ZoneId, std::uint32_t> in_zone;
-  std::uint32_t left = spec.tasks;
-  const auto grant_lease = [&](const PartitionCapacity& p, double requested, std::uint32_t most_in_zone) {
-    const auto cap = most_in_zone - std::min(most_in_zone, in_zone[p.zone]);
-    const auto n = std::min({left, cap, static_cast<std::uint32_t>(std::max(0.0, std::floor(requested)))});
-    share[p.partition] += n;
-    in_zone[p.zone] += n;
-    left -= n;
-  };
-  std::sort(open.begin(), open.end(), [&](const PartitionCapacity& a, const PartitionCapacity& b) {
-    return suits(a, spec.tasks) > suits(b, spec.tasks);
-  });
+  std::sort(partitions.begin(), partitions.end(),
+            [&](const PartitionCapacity& a, const PartitionCapacity& b) {
+              return suitability(a, spec.tasks) > suitability(b, spec.tasks);
+            });
+  TaskShares shares(spec.tasks);
+  const auto zone_cap = spec.zone_cap();
   // A zone that is lost should take no more replicas along than it must.
   if (spec.standing() && spec.spread) {
-    std::set<core::ZoneId> zones;
-    for (const auto& p : open) zones.insert(p.zone);
-    const auto even = (spec.tasks + static_cast<std::uint32_t>(zones.size()) - 1) / zones.size();
-    for (const auto& p : open)
-      grant_lease(p, p.free - p.backlog, std::min(spec.zone_cap(), static_cast<std::uint32_t>(even)));
+    const auto even_cap = even_zone_cap(spec, partitions);
+    for (const auto& partition : partitions) shares.give(partition, spare(partition), even_cap);
   }
-  for (const auto& p : open) grant_lease(p, p.free - p.backlog - share[p.partition], spec.zone_cap());
+  for (const auto& partition : partitions)
+    shares.give(partition, spare(partition) - shares.of(partition.partition), zone_cap);
   double capacity = 0;
-  for (const auto& p : open) capacity += std::max(1.0, p.capacity);
-  const std::uint32_t rest = left;
-  for (const auto& p : open)
-    grant_lease(p, std::ceil(rest * std::max(1.0, p.capacity) / capacity), spec.zone_cap());
-  for (const auto& p : open) grant_lease(p, left, spec.zone_cap());
-  // `spread` in a deployment with too few zones: what no zone may take waits in the first part.
-  if (left > 0) share[open.front().partition] += left;
-
-  std::vector<jobs::Range> out;
-  std::uint32_t at = 0;
-  for (const auto& [partition, n] : share) {
-    if (n == 0) continue;
-    out.push_back({at, at + n, partition});
-    at += n;
-  }
-  return out;
+  for (const auto& partition : partitions) capacity += capacity_of(partition);
+  const std::uint32_t rest = shares.left();
+  for (const auto& partition : partitions)
+    shares.give(partition, std::ceil(rest * capacity_of(partition) / capacity), zone_cap);
+  for (const auto& partition : partitions) shares.give(partition, shares.left(), zone_cap);
+  // `spread` in a deployment with too few zones: what no zone may take waits in the first partition.
+  shares.give_rest(partitions.front().partition);
+  return shares.ranges();
 }
 
 }  // namespace finchrun::sched
--- a/src/scheduling/backlog.hpp
+++ b/src/scheduling/backlog.hpp
@@ -1,4 +1,4 @@
-// What a scheduling round could not place.
+/// What a scheduling round could not place.
 #pragma once
 
 #include <vector>
@@ -7,7 +7,7 @@
 
 namespace finchrun::scheduling {
 
-/// Tasks of one job that wait in one partition.
+/// Tasks of one job that wait in one partition. Those that the round placed are no longer among them.
 struct BacklogItem {
   core::PartitionId partition;
   sched::Demand demand;
--- a/src/scheduling/partition_writer.hpp
+++ b/src/scheduling/partition_writer.hpp
@@ -1,5 +1,5 @@
-// The one coroutine that writes for the partitions that this controller leads, so that its writes never race
-// each other: scheduling rounds, observed exits, rebalancing, usage.
+/// The one coroutine that writes for the partitions that this controller leads, so that its writes never race
+/// each other: scheduling rounds, observed exits, rebalancing, usage.
 #pragma once
 
 #include "assignments/exit_recorder.hpp"
@@ -14,6 +14,11 @@
 
 namespace asio = boost::asio;
 
+/// This controller's part of the writes that all controllers may make together. `leaders`: controllers that
+/// lead some partition; `controllers`: of the deployment; `leads`: this one is among the leaders.
+double share_of_writes(std::size_t leaders, int controllers, bool leads);
+
+/// Decides when each of its components writes; what they write is theirs.
 class PartitionWriter {
  public:
   PartitionWriter(controller::Runtime& runtime, controller::SharedState& state, state::KeyValueStore& store,
@@ -33,7 +38,10 @@
   asio::awaitable<void> run();
 
  private:
-  asio::awaitable<void> run_round(core::TimePoint now, std::uint64_t version);
+  /// Is a round due? One comes early when a job has arrived or room has been freed (`cache_version` has
+  /// moved).
+  [[nodiscard]] bool round_due(core::TimePoint now, std::uint64_t cache_version) const;
+  asio::awaitable<void> run_round(core::TimePoint now, std::uint64_t cache_version);
   void share_write_budget();
 
   controller::Runtime& runtime_;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -2,77 +2,175 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+#include <map>
+
 namespace finchrun::scheduling {
 
 namespace {
 
 using controller::ControllerState;
 
-// Tasks of the partition that could be stopped, and what that would cost.
-std::vector<sched::RunningTask> running_in(const ControllerState& w, core::PartitionId partition,
-                                           const std::set<core::JobId>& within, core::TimePoint now) {
-  constexpr double kGapS = 30;
-  constexpr double kYoung = 30;  // a start that is stopped sooner than this was none, to its user
-  std::vector<sched::RunningTask> out;
-  w.cache.each_named_machine([&](core::MachineId machine, const std::vector<state::MachineAssignment>& list) {
-    for (const auto& [id, in_partition, e] : list) {
-      if (in_partition != partition) continue;
-      const auto* job = w.cache.job(id);
-      if (!job || job->status != jobs::Status::live) continue;
-      const agent::TaskAttempt start{id, e.task, e.attempt};
-      if (w.fleet.preempting.contains(start)) continue;
-      if (w.fleet.ended(id, partition, e)) continue;
-      const auto seen = w.fleet.confirmed_starts.find(start);
-      const double ran = seen == w.fleet.confirmed_starts.end() ? 0 : core::since(seen->second, now);
-      sched::RunningTask r;
-      r.job = id;
-      r.team = job->spec.team;
-      r.task = e.task;
-      r.attempt = e.attempt;
-      r.machine = machine;
-      r.need = job->spec.need;
-      r.priority = static_cast<int>(job->spec.priority);
-      r.gang = job->spec.gang();
-      r.within = within.contains(id);
-      // What stopping a replica costs is the gap until another one runs, not the time that it has run.
-      r.loss_s = job->spec.standing() ? kGapS : job->spec.checkpoint_s > 0 ? job->spec.save_s + 5 : ran;
-      if (ran < kYoung) r.loss_s += 20;
-      r.left_s = std::max(job->spec.expected_run_s - ran, 0.1 * job->spec.expected_run_s + 1);
-      out.push_back(r);
+// What stopping a replica costs is the gap until another one runs, not the time that it has run.
+constexpr double kReplicaGapS = 30;
+// A start that is stopped sooner than this was none, to its user: it costs so much more.
+constexpr double kYoungTaskS = 30;
+constexpr double kYoungTaskCostS = 20;
+// What a task that saves its progress loses beside the time to save it.
+constexpr double kRestartCostS = 5;
+// A task that runs for longer than expected goes on for at least this much.
+constexpr double kLeastRemainingFraction = 0.1;
+constexpr double kLeastRemainingS = 1;
+
+// Until a stop has reached its machine and its end is known here: a heartbeat each, and some slack.
+constexpr double kHeartbeatsForStop = 2;
+constexpr double kStopSlackS = 4;
+
+// A gang's reservation lasts for this many times what it was expected to take, and then some; but estimates
+// are often wrong: after a while the gang looks for other machines.
+constexpr double kReservationMargin = 1.5;
+constexpr double kReservationSlackS = 5;
+constexpr double kLongestReservationS = 60;
+
+// At most this part of a partition's machines is reserved for gangs at a time.
+constexpr std::size_t kReservableMachinesDivisor = 4;
+
+void reserve_machine(ControllerState& state, core::MachineId id, core::JobId job, double ready_in_s,
+                     double lasts_s, core::TimePoint now) {
+  auto* machine = state.fleet.find(id);
+  if (!machine) return;
+  machine->reserved_for = job;
+  machine->reserved_ready = now + core::secs(ready_in_s);
+  machine->reserved_until = now + core::secs(lasts_s);
+}
+
+// How long the task has run as far as heartbeats have shown; 0: none has shown it yet.
+double ran_s(const ControllerState& state, const agent::TaskAttempt& attempt, core::TimePoint now) {
+  const auto confirmed = state.fleet.confirmed_starts.find(attempt);
+  return confirmed == state.fleet.confirmed_starts.end() ? 0 : core::since(confirmed->second, now);
+}
+
+// Nothing if it can't be preempted: its job is over, it is being stopped, or it is known to have ended.
+std::optional<sched::RunningTask> running_task(const ControllerState& state, core::MachineId machine,
+                                               const state::MachineAssignment& on_machine,
+                                               const std::set<core::JobId>& within_guarantee,
+                                               core::TimePoint now) {
+  const auto& [id, partition, assignment] = on_machine;
+  const auto* job = state.cache.job(id);
+  if (!job || job->status != jobs::Status::live) return std::nullopt;
+  const agent::TaskAttempt attempt{id, assignment.task, assignment.attempt};
+  if (state.fleet.preempting.contains(attempt) || state.fleet.ended(id, partition, assignment))
+    return std::nullopt;
+  const double ran = ran_s(state, attempt, now);
+  sched::RunningTask task;
+  task.job = id;
+  task.team = job->spec.team;
+  task.task = assignment.task;
+  task.attempt = assignment.attempt;
+  task.machine = machine;
+  task.need = job->spec.need;
+  task.priority = static_cast<int>(job->spec.priority);
+  task.gang = job->spec.gang();
+  task.within = within_guarantee.contains(id);
+  task.stop_cost_s = stop_cost_s(job->spec, ran);
+  task.remaining_s = remaining_s(job->spec, ran);
+  return task;
+}
+
+// What a round has just placed runs there too: without it a machine that is being filled seems never to come
+// free.
+void append_placed(const sched::Plan& plan, const std::vector<sched::Demand>& demands,
+                   std::vector<sched::RunningTask>& running) {
+  for (const auto& placement : plan.placements) {
+    const auto& demand = demands[placement.demand];
+    sched::RunningTask task;
+    task.job = demand.job;
+    task.machine = placement.machine;
+    task.need = demand.need;
+    task.remaining_s = demand.expected_run_s;
+    running.push_back(task);
+  }
+}
+
+// The plan's nodes, those reserved where preemption has just made room.
+std::vector<sched::Node> nodes_after(const std::vector<sched::Preemption>& preemptions,
+                                     const sched::Plan& plan, const std::vector<sched::Demand>& demands) {
+  std::map<core::MachineId, core::JobId> reserved;
+  for (const auto& preemption : preemptions)
+    for (const auto machine : preemption.machines) reserved[machine] = demands[preemption.demand].job;
+  auto nodes = plan.nodes;
+  for (auto& node : nodes)
+    if (const auto found = reserved.find(node.id); found != reserved.end()) node.reserved_for = found->second;
+  return nodes;
+}
+
+void evict_gracefully(ControllerState& state, core::JobId id, const jobs::TaskAssignment& assignment) {
+  const double grace_s = state.cache.job(id)->spec.stop_grace_s();
+  if (state.fleet.preempting.try_emplace({id, assignment.task, assignment.attempt}, grace_s).second)
+    spdlog::info("graceful eviction job={} task={} attempt={} machine={} grace_s={:.0f} reason=reclaimed",
+                 state.names.jobs.name(id), assignment.task, assignment.attempt,
+                 state.names.machines.name(assignment.machine), grace_s);
+}
+
+// Evicts what must leave the machine now, but gangs, which it notes in `gangs`.
+void evict_from(ControllerState& state, core::MachineId machine, double termination_notice_s,
+                std::set<core::JobId>& gangs) {
+  for (const auto& placed : state.cache.on_machine(machine)) {
+    const auto* job = state.cache.job(placed.job);
+    if (!job || job->status != jobs::Status::live) continue;
+    if (!must_evict(termination_notice_s, job->spec, state.settings.report_s)) continue;
+    if (job->spec.gang()) {
+      gangs.insert(placed.job);
+    } else {
+      evict_gracefully(state, placed.job, placed.assignment);
     }
-  });
-  return out;
+  }
 }
 
 }  // namespace
 
-// Tasks on machines that the cloud is about to take save what they have and start again elsewhere; a gang as
-// a whole.
-void evict_from_reclaimed_machines(ControllerState& w) {
+double stop_cost_s(const jobs::JobSpec& spec, double ran_s) {
+  const double lost_s = spec.standing()         ? kReplicaGapS
+                        : spec.checkpoint_s > 0 ? spec.save_s + kRestartCostS
+                                                : ran_s;
+  return ran_s < kYoungTaskS ? lost_s + kYoungTaskCostS : lost_s;
+}
+
+double remaining_s(const jobs::JobSpec& spec, double ran_s) {
+  return std::max(spec.expected_run_s - ran_s,
+                  kLeastRemainingFraction * spec.expected_run_s + kLeastRemainingS);
+}
+
+bool must_evict(double termination_notice_s, const jobs::JobSpec& spec, double heartbeat_s) {
+  return termination_notice_s <= spec.save_s + kHeartbeatsForStop * heartbeat_s + kStopSlackS;
+}
+
+std::vector<sched::RunningTask> running_tasks(const ControllerState& state, core::PartitionId partition,
+                                              const std::set<core::JobId>& within_guarantee,
+                                              core::TimePoint now) {
+  std::vector<sched::RunningTask> running;
+  state.cache.each_named_machine(
+      [&](core::MachineId machine, const std::vector<state::MachineAssignment>& on_machine) {
+        for (const auto& placed : on_machine) {
+          if (placed.partition != partition) continue;
+          if (const auto task = running_task(state, machine, placed, within_guarantee, now))
+            running.push_back(*task);
+        }
+      });
+  return running;
+}
+
+void evict_from_reclaimed_machines(ControllerState& state) {
   std::set<core::JobId> gangs;
-  const auto stop = [&](core::JobId id, const jobs::JobSpec& spec, const jobs::TaskAssignment& e) {
-    const double grace = spec.stop_grace_s();
-    if (w.fleet.preempting.try_emplace({id, e.task, e.attempt}, grace).second)
-      spdlog::info("drain job={} task={} try={} machine={}", w.names.jobs.name(id), e.task, e.attempt,
-                   w.names.machines.name(e.machine));
-  };
-  for (const auto& [id, m] : w.fleet.all()) {
-    if (!m.termination_notice_s || !m.partition.valid() || !w.leads(m.partition)) continue;
-    for (const auto& placed : w.cache.on_machine(id)) {
-      const auto* job = w.cache.job(placed.job);
-      if (!job || job->status != jobs::Status::live) continue;
-      if (*m.termination_notice_s > job->spec.save_s + 2 * w.settings.report_s + 4) continue;
-      if (job->spec.gang()) {
-        gangs.insert(placed.job);
-      } else {
-        stop(placed.job, job->spec, placed.assignment);
-      }
-    }
+  for (const auto& [id, machine] : state.fleet.all()) {
+    if (!machine.termination_notice_s || !machine.partition.valid() || !state.leads(machine.partition))
+      continue;
+    evict_from(state, id, *machine.termination_notice_s, gangs);
   }
   for (const auto id : gangs) {
-    w.cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
-      if (!w.leads(partition)) return;
-      for (const auto& e : run.assignments) stop(id, w.cache.job(id)->spec, e);
+    state.cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
+      if (!state.leads(partition)) return;
+      for (const auto& assignment : run.assignments) evict_gracefully(state, id, assignment);
     });
   }
 }
@@ -81,76 +179,60 @@
                           std::vector<sched::Demand>& demands, const RoundView& view, std::size_t machines,
                           core::TimePoint now) {
   if (plan.unplaced.empty()) return;
-  auto running = state_.with([&](ControllerState& w) { return running_in(w, partition, view.within, now); });
+  auto running = state_.with(
+      [&](ControllerState& state) { return running_tasks(state, partition, view.within_guarantee, now); });
   const auto preemptions =
       sched::preempt(plan.nodes, demands, plan.unplaced, running, plan.teams, view.guarantees);
-  for (const auto& e : preemptions) {
-    start(e, demands[e.demand], running, now);
-    demands[e.demand].has_reservation = true;
-  }
-  // What this round places runs there too: without it a machine that is being filled seems never to come
-  // free.
-  for (const auto& p : plan.placements) {
-    const auto& d = demands[p.demand];
-    sched::RunningTask r;
-    r.job = d.job;
-    r.machine = p.machine;
-    r.need = d.need;
-    r.left_s = d.expected_run_s;
-    running.push_back(r);
+  for (const auto& preemption : preemptions) {
+    start(preemption, demands[preemption.demand], running, now);
+    demands[preemption.demand].has_reservation = true;
   }
-  // Nodes that were just reserved are kept from the gatherers too.
-  auto nodes = plan.nodes;
-  std::map<core::MachineId, core::JobId> taken;
-  for (const auto& e : preemptions)
-    for (const auto id : e.machines) taken[id] = demands[e.demand].job;
-  for (auto& n : nodes)
-    if (const auto t = taken.find(n.id); t != taken.end()) n.reserved_for = t->second;
-  const auto reservations =
-      sched::reserve_for_gangs(nodes, demands, plan.unplaced, running, plan.teams,
-                               tuning_.gang_reservation_delay_s, std::max<std::size_t>(1, machines / 4));
-  state_.with([&](ControllerState& w) {
-    for (const auto& g : reservations) {
-      auto& d = demands[g.demand];
-      d.has_reservation = true;
-      // Estimates are often wrong: after a while the gang looks for other machines.
-      constexpr double kLongest = 60;
-      spdlog::info("gather job={} tasks={} machines={} part={} in_s={:.0f}", w.names.jobs.name(d.job),
-                   d.tasks.size(), g.machines.size(), w.names.partitions.name(partition), g.in_s);
-      for (const auto id : g.machines) {
-        auto* m = w.fleet.find(id);
-        if (!m) continue;
-        m->reserved_for = d.job;
-        m->reserved_ready = now + core::secs(g.in_s);
-        m->reserved_until = now + core::secs(std::min(kLongest, g.in_s * 1.5 + 2 * w.settings.report_s + 5));
-      }
+  append_placed(plan, demands, running);
+  const auto max_machines = std::max<std::size_t>(1, machines / kReservableMachinesDivisor);
+  reserve(partition,
+          sched::reserve_for_gangs(nodes_after(preemptions, plan, demands), demands, plan.unplaced, running,
+                                   plan.teams, tuning_.gang_reservation_delay_s, max_machines),
+          demands, now);
+}
+
+void Preemptor::reserve(core::PartitionId partition, const std::vector<sched::Reservation>& reservations,
+                        std::vector<sched::Demand>& demands, core::TimePoint now) {
+  state_.with([&](ControllerState& state) {
+    for (const auto& reservation : reservations) {
+      auto& demand = demands[reservation.demand];
+      demand.has_reservation = true;
+      spdlog::info("gang reservation started job={} tasks={} machines={} partition={} ready_in_s={:.0f}",
+                   state.names.jobs.name(demand.job), demand.tasks.size(), reservation.machines.size(),
+                   state.names.partitions.name(partition), reservation.ready_in_s);
+      const double lasts_s = std::min(kLongestReservationS, reservation.ready_in_s * kReservationMargin +
+                                                                kHeartbeatsForStop * state.settings.report_s +
+                                                                kReservationSlackS);
+      for (const auto machine : reservation.machines)
+        reserve_machine(state, machine, demand.job, reservation.ready_in_s, lasts_s, now);
     }
   });
 }
 
-void Preemptor::start(const sched::Preemption& e, const sched::Demand& d,
+void Preemptor::start(const sched::Preemption& preemption, const sched::Demand& demand,
                       const std::vector<sched::RunningTask>& running, core::TimePoint now) {
   std::map<core::MachineId, std::vector<wire::Command>> stops;
-  state_.with([&](ControllerState& w) {
-    double longest = 0;
-    for (const auto v : e.victims) {
-      const auto& r = running[v];
-      // All of a gang must hear it within gang_peer_s of each other, with time to save.
-      const double grace = w.cache.job(r.job)->spec.stop_grace_s();
-      longest = std::max(longest, grace);
-      w.fleet.preempting[{r.job, r.task, r.attempt}] = grace;
-      spdlog::info("preempt job={} task={} try={} machine={} for={}", w.names.jobs.name(r.job), r.task,
-                   r.attempt, w.names.machines.name(r.machine), w.names.jobs.name(d.job));
-      stops[r.machine].push_back(
-          {wire::Command::Kind::stop, w.names.jobs.name(r.job), r.task, r.attempt, grace});
-    }
-    for (const auto id : e.machines) {
-      auto* m = w.fleet.find(id);
-      if (!m) continue;
-      m->reserved_for = d.job;
-      m->reserved_ready = now + core::secs(longest);
-      m->reserved_until = now + core::secs(longest + 2 * w.settings.report_s + 4);
+  state_.with([&](ControllerState& state) {
+    double longest_grace_s = 0;
+    for (const auto index : preemption.victims) {
+      const auto& victim = running[index];
+      // All of a gang must get it within gang_peer_s of each other, with time to save.
+      const double grace_s = state.cache.job(victim.job)->spec.stop_grace_s();
+      longest_grace_s = std::max(longest_grace_s, grace_s);
+      state.fleet.preempting[{victim.job, victim.task, victim.attempt}] = grace_s;
+      const auto& job = state.names.jobs.name(victim.job);
+      spdlog::info("preempting job={} task={} attempt={} machine={} grace_s={:.0f} for_job={}", job,
+                   victim.task, victim.attempt, state.names.machines.name(victim.machine), grace_s,
+                   state.names.jobs.name(demand.job));
+      stops[victim.machine].push_back({wire::Command::Kind::stop, job, victim.task, victim.attempt, grace_s});
     }
+    const double lasts_s = longest_grace_s + kHeartbeatsForStop * state.settings.report_s + kStopSlackS;
+    for (const auto machine : preemption.machines)
+      reserve_machine(state, machine, demand.job, longest_grace_s, lasts_s, now);
   });
   for (auto& [machine, commands] : stops) runtime_.spawn(commands_.send(machine, std::move(commands), {}));
 }
--- a/src/scheduling/scheduling_round.cpp
+++ b/src/scheduling/scheduling_round.cpp
@@ -2,84 +2,116 @@
 
 #include <spdlog/spdlog.h>
 
+#include <iterator>
+#include <map>
+
 namespace finchrun::scheduling {
 
+using assignments::PlannedPlacement;
 using controller::ControllerState;
 
+std::vector<PlannedPlacement> recordable_pieces(core::PartitionId partition, std::uint64_t fencing_token,
+                                                const std::vector<sched::Placement>& placements,
+                                                const std::vector<sched::Demand>& demands,
+                                                const std::vector<sched::Costs>& costs,
+                                                std::size_t most_assignments) {
+  std::vector<PlannedPlacement> pieces;
+  std::map<std::size_t, std::size_t> placed;  // by demand, so far
+  for (const auto& placement : placements) {
+    const auto& demand = demands[placement.demand];
+    const auto before = placed[placement.demand]++;
+    if (before == 0 || (!demand.gang && before % most_assignments == 0))
+      pieces.push_back(
+          {partition, fencing_token, demand.job, demand.job_revision, costs[placement.demand].weight, {}});
+    pieces.back().tasks.emplace_back(placement.task, placement.machine);
+  }
+  return pieces;
+}
+
+void subtract_placed(const sched::Plan& plan, std::vector<sched::Demand>& demands) {
+  std::map<std::size_t, std::uint32_t> placed;  // by demand
+  for (const auto& placement : plan.placements) ++placed[placement.demand];
+  for (const auto index : plan.unplaced) {
+    const auto count = placed.find(index);
+    if (count == placed.end()) continue;
+    auto& demand = demands[index];
+    // Tasks are placed in their order.
+    demand.tasks.erase(demand.tasks.begin(), demand.tasks.begin() + count->second);
+    demand.count -= count->second;
+  }
+}
+
+PartitionSummary summarize(const sched::Plan& plan, const std::vector<sched::Demand>& demands) {
+  PartitionSummary summary;
+  summary.machines = plan.nodes.size();
+  for (const auto& node : plan.nodes) {
+    const bool reserved = node.reserved_for.valid();
+    (reserved ? summary.reserved_free : summary.free) += node.free;
+    summary.reserved += reserved ? 1 : 0;
+  }
+  for (const auto index : plan.unplaced) {
+    const auto& demand = demands[index];
+    const double at_once = demand.gang ? static_cast<double>(demand.tasks.size()) : 1;
+    summary.over_quota += plan.teams.at(demand.team.index).allows(demand.need * at_once) ? 0 : 1;
+    summary.with_reservation += demand.has_reservation ? 1 : 0;
+  }
+  return summary;
+}
+
 asio::awaitable<std::optional<core::TimePoint>> SchedulingRound::run(double round_s) {
   co_await recorder_.move_fences();
   const auto now = core::Steady::now();
   backlog_.clear();
   quota_.clear();
-  auto view = state_.with([&](ControllerState& w) { return build_round_view(w, round_s, now); });
+  auto view = state_.with([&](ControllerState& state) { return build_round_view(state, round_s, now); });
   if (!view) co_return std::nullopt;
-  auto& v = *view;
 
-  const auto costs = sched::rank(v.queue, v.shares, v.usage,
+  const auto costs = sched::rank(view->queue, view->team_shares, view->decayed_usage,
                                  {tuning_.image_factor, tuning_.size_factor, tuning_.usage_factor});
-  std::vector<assignments::PlannedPlacement> placings;
-  const auto most_assignments = assignments::AssignmentWriter::most_assignments(settings_.state_limits);
-  for (auto& [partition, part] : v.partitions) {
-    std::vector<sched::Demand> mine;
-    std::vector<sched::Costs> mine_costs;
-    for (const auto i : part.demands) {
-      mine.push_back(std::move(v.demands[i]));
-      mine_costs.push_back(costs[i]);
-    }
-    const auto machines = part.nodes.size();
-    auto plan = sched::place(std::move(part.nodes), mine, mine_costs, part.rooms);
-    // In the order of placing: what does not get into this round's transactions is what ranks lowest.
-    std::map<std::size_t, std::size_t> placed_of;
-    for (const auto& pl : plan.placements) {
-      // A large array is recorded in pieces that fit into one transaction; a gang starts as a whole.
-      const auto placed = placed_of[pl.demand]++;
-      if (placed == 0 || (!mine[pl.demand].gang && placed % most_assignments == 0))
-        placings.push_back({partition,
-                            part.fencing_token,
-                            mine[pl.demand].job,
-                            mine[pl.demand].job_revision,
-                            mine_costs[pl.demand].weight,
-                            {}});
-      placings.back().tasks.emplace_back(pl.task, pl.machine);
-    }
-    for (const auto i : plan.unplaced) {
-      auto& d = mine[i];
-      const auto placed = placed_of.contains(i) ? placed_of[i] : 0;
-      d.tasks.erase(d.tasks.begin(), d.tasks.begin() + static_cast<std::ptrdiff_t>(placed));
-      d.count -= static_cast<std::uint32_t>(placed);
-    }
-    preemptor_.make_room(partition, plan, mine, v, machines, now);
-    if (spdlog::should_log(spdlog::level::debug)) log_partition(partition, plan, mine);
-    quota_.collect(partition, plan, mine, v.used);
-    for (const auto i : plan.unplaced) {
-      backlog_.push_back({partition, std::move(mine[i])});
-    }
+  std::vector<PlannedPlacement> pieces;
+  for (const auto& [partition, _] : view->partitions) {
+    auto here = place_in(partition, *view, costs, now);
+    std::move(here.begin(), here.end(), std::back_inserter(pieces));
   }
-  const auto retry_at = co_await recorder_.record(std::move(placings), v.attempt);
+  const auto retry_at = co_await recorder_.record(std::move(pieces), view->attempt);
   co_await quota_.share();
   co_return retry_at;
 }
 
+std::vector<PlannedPlacement> SchedulingRound::place_in(core::PartitionId partition, RoundView& view,
+                                                        const std::vector<sched::Costs>& costs,
+                                                        core::TimePoint now) {
+  auto& partition_view = view.partitions.at(partition);
+  std::vector<sched::Demand> demands;
+  std::vector<sched::Costs> demand_costs;
+  for (const auto index : partition_view.demands) {
+    demands.push_back(std::move(view.demands[index]));
+    demand_costs.push_back(costs[index]);
+  }
+  const auto machines = partition_view.nodes.size();
+  const auto plan =
+      sched::place(std::move(partition_view.nodes), demands, demand_costs, partition_view.team_quotas);
+  auto pieces =
+      recordable_pieces(partition, partition_view.fencing_token, plan.placements, demands, demand_costs,
+                        assignments::AssignmentWriter::most_assignments(settings_.state_limits));
+  subtract_placed(plan, demands);
+  preemptor_.make_room(partition, plan, demands, view, machines, now);
+  if (spdlog::should_log(spdlog::level::debug)) log_partition(partition, plan, demands);
+  quota_.collect(partition, plan, demands, view.used_by_team);
+  for (const auto index : plan.unplaced) backlog_.push_back({partition, std::move(demands[index])});
+  return pieces;
+}
+
 void SchedulingRound::log_partition(core::PartitionId partition, const sched::Plan& plan,
                                     const std::vector<sched::Demand>& demands) {
-  core::Resources free, kept;
-  std::size_t reserved = 0, limited = 0, waiting_for_reservation = 0;
-  for (const auto& n : plan.nodes) {
-    (n.reserved_for.valid() ? kept : free) += n.free;
-    reserved += n.reserved_for.valid() ? 1 : 0;
-  }
-  for (const auto i : plan.unplaced) {
-    const auto& d = demands[i];
-    const double n = d.gang ? static_cast<double>(d.tasks.size()) : 1;
-    limited += plan.teams.at(d.team.index).allows(d.need * n) ? 0 : 1;
-    waiting_for_reservation += d.has_reservation ? 1 : 0;
-  }
-  state_.with([&](ControllerState& w) {
+  const auto summary = summarize(plan, demands);
+  state_.with([&](ControllerState& state) {
     spdlog::debug(
-        "round part={} machines={} reserved={} free_gpus={} kept_gpus={} jobs={} placed={} unplaced={} "
-        "limited={} gathering={}",
-        w.names.partitions.name(partition), plan.nodes.size(), reserved, free.gpus, kept.gpus, demands.size(),
-        plan.placements.size(), plan.unplaced.size(), limited, waiting_for_reservation);
+        "scheduling round partition={} machines={} reserved={} free_gpus={} reserved_free_gpus={} demands={} "
+        "placed={} unplaced={} over_quota={} with_reservation={}",
+        state.names.partitions.name(partition), summary.machines, summary.reserved, summary.free.gpus,
+        summary.reserved_free.gpus, demands.size(), plan.placements.size(), plan.unplaced.size(),
+        summary.over_quota, summary.with_reservation);
   });
 }
 
--- a/src/scheduling/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -1,5 +1,7 @@
 #include "scheduling/waiting_tasks.hpp"
 
+#include <algorithm>
+
 namespace finchrun::scheduling {
 
 WaitingTasks::WaitingTasks(const state::StateCache& cache, core::JobId id) : job_(cache.job(id)) {
@@ -8,34 +10,38 @@
   any_ = cache.done(id) + cache.placed(id) < tasks;
   if (!any_) return;
   busy_.assign(tasks, false);
-  cache.each_run(id, [&](core::PartitionId, const jobs::JobAssignments& run) {
-    // A replica that has ended runs again, whatever an earlier version may have recorded of it.
-    if (!job_->spec.standing())
-      for (const auto& [from, to] : run.done.spans())
-        std::fill(busy_.begin() + std::min(from, tasks), busy_.begin() + std::min(to, tasks), true);
-    for (const auto& e : run.assignments)
-      if (e.task < tasks) busy_[e.task] = true;
-  });
+  cache.each_run(id, [&](core::PartitionId, const jobs::JobAssignments& run) { mark_busy(run); });
+}
+
+void WaitingTasks::mark_busy(const jobs::JobAssignments& run) {
+  const auto tasks = job_->spec.tasks;
+  // A replica that has ended runs again, whatever an earlier version may have recorded of it.
+  if (!job_->spec.standing())
+    for (const auto& [from, to] : run.done.spans())
+      std::fill(busy_.begin() + std::min(from, tasks), busy_.begin() + std::min(to, tasks), true);
+  for (const auto& assignment : run.assignments)
+    if (assignment.task < tasks) busy_[assignment.task] = true;
 }
 
 std::uint32_t WaitingTasks::count(core::PartitionId partition) const {
-  std::uint32_t n = 0;
-  if (!any_) return n;
-  for (const auto& r : job_->ranges)
-    if (r.partition == partition)
-      n += static_cast<std::uint32_t>(std::count(busy_.begin() + r.from, busy_.begin() + r.to, false));
-  return n;
+  std::uint32_t waiting = 0;
+  if (!any_) return waiting;
+  for (const auto& range : job_->ranges)
+    if (range.partition == partition)
+      waiting +=
+          static_cast<std::uint32_t>(std::count(busy_.begin() + range.from, busy_.begin() + range.to, false));
+  return waiting;
 }
 
 std::vector<std::uint32_t> WaitingTasks::first(core::PartitionId partition, std::size_t most) const {
-  std::vector<std::uint32_t> out;
-  if (!any_) return out;
-  for (const auto& r : job_->ranges) {
-    if (r.partition != partition) continue;
-    for (auto task = r.from; task < r.to && out.size() < most; ++task)
-      if (!busy_[task]) out.push_back(task);
+  std::vector<std::uint32_t> tasks;
+  if (!any_) return tasks;
+  for (const auto& range : job_->ranges) {
+    if (range.partition != partition) continue;
+    for (auto task = range.from; task < range.to && tasks.size() < most; ++task)
+      if (!busy_[task]) tasks.push_back(task);
   }
-  return out;
+  return tasks;
 }
 
 }  // namespace finchrun::scheduling
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -114,13 +114,13 @@
              {1},
              0,
              {0}},
-        Case{"scatter cap",
+        Case{"spread cap",
              {node(0, 8)},
              {with(demand(0, 5, 1, false), [](Demand& d) { d.room_in_zone = 3; })},
              {1},
              0,
              {3}},
-        Case{"scatter cap holds a gang back",
+        Case{"spread cap holds a gang back",
              {node(0, 8)},
              {with(demand(0, 5, 1, true), [](Demand& d) { d.room_in_zone = 3; })},
              {1},
@@ -171,14 +171,30 @@
   EXPECT_FALSE(open_to(d, kept));
 }
 
-struct DealCase {
+struct PrecedenceCase {
+  int priority;
+  bool deferrable;
+  int precedence;
+};
+// Priorities above normal go before the ranking, idle work takes part in it, and what has time goes last.
+TEST(Precedence, IsAPrioritysClaimBeforeTheWeight) {
+  for (const auto& c : {PrecedenceCase{0, false, 1}, PrecedenceCase{1, false, 1}, PrecedenceCase{2, false, 2},
+                        PrecedenceCase{3, false, 3}, PrecedenceCase{3, true, 0}}) {
+    Demand d;
+    d.priority = c.priority;
+    d.deferrable = c.deferrable;
+    EXPECT_EQ(precedence(d), c.precedence) << c.priority;
+  }
+}
+
+struct DistributeCase {
   const char* name;
   std::uint32_t tasks;
   bool gang, spread;
   std::vector<PartitionCapacity> partitions;
   std::vector<std::uint32_t> want;  // tasks by partition
 };
-class Distribute : public testing::TestWithParam<DealCase> {};
+class Distribute : public testing::TestWithParam<DistributeCase> {};
 TEST_P(Distribute, EveryTaskToSinglePartition) {
   const auto& c = GetParam();
   jobs::JobSpec spec;
@@ -221,11 +237,11 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table, Distribute,
-    testing::Values(DealCase{"gang to the roomiest", 2, true, false, {room(0, 1), room(1, 4)}, {0, 2}},
-                    DealCase{"array over free room", 6, false, false, {room(0, 4), room(1, 2)}, {4, 2}},
-                    DealCase{"backlog counts", 4, false, false, {room(0, 4, 4), room(1, 4)}, {0, 4}},
-                    DealCase{"scatter halves", 5, false, true, {room(0, 9), room(1, 9)}, {3, 2}},
-                    DealCase{"nothing free", 4, false, false, {room(0, 0), room(1, 0)}, {2, 2}}),
+    testing::Values(DistributeCase{"gang to the roomiest", 2, true, false, {room(0, 1), room(1, 4)}, {0, 2}},
+                    DistributeCase{"array over free room", 6, false, false, {room(0, 4), room(1, 2)}, {4, 2}},
+                    DistributeCase{"backlog counts", 4, false, false, {room(0, 4, 4), room(1, 4)}, {0, 4}},
+                    DistributeCase{"spread halves", 5, false, true, {room(0, 9), room(1, 9)}, {3, 2}},
+                    DistributeCase{"nothing free", 4, false, false, {room(0, 0), room(1, 0)}, {2, 2}}),
     [](const auto& info) {
       std::string name = info.param.name;
       std::replace(name.begin(), name.end(), ' ', '_');
--- a/tests/sched/preempt_test.cpp
+++ b/tests/sched/preempt_test.cpp
@@ -27,7 +27,7 @@
   r.machine = MachineId{machine};
   r.need = {gpus * 8, gpus, gpus * 64};
   r.priority = priority;
-  r.loss_s = 10;
+  r.stop_cost_s = 10;
   return r;
 }
 Demand demand(int priority, std::uint32_t tasks, bool guaranteed = false) {
@@ -124,50 +124,51 @@
 }
 
 // A gang of two whole machines, while small tasks run on each and more of them wait all the time.
-struct GatherCase {
+struct ReservationCase {
   const char* name;
   double waited_s;
   std::size_t most;
   std::size_t machines;
 };
-class Gather : public testing::TestWithParam<GatherCase> {};
-TEST_P(Gather, KeepsRoomForAGangThatWaits) {
+class GangReservation : public testing::TestWithParam<ReservationCase> {};
+TEST_P(GangReservation, KeepsRoomForAGangThatWaits) {
   const auto& c = GetParam();
   auto d = demand(1, 2);
   d.waited_s = c.waited_s;
   auto small = running(1, 0, 1, 4), later = running(2, 1, 1, 4), last = running(3, 2, 1, 4);
-  small.left_s = 10, later.left_s = 20, last.left_s = 300;
+  small.remaining_s = 10, later.remaining_s = 20, last.remaining_s = 300;
   const auto out = reserve_for_gangs({full(0), full(1), full(2)}, {d}, {0}, {small, later, last},
                                      {TeamQuota{}, TeamQuota{}}, 10, c.most);
   EXPECT_EQ(out.empty() ? 0 : out[0].machines.size(), c.machines);
   if (!out.empty()) {
-    EXPECT_DOUBLE_EQ(out[0].in_s, 20) << "on the machines that are free first";
+    EXPECT_DOUBLE_EQ(out[0].ready_in_s, 20) << "on the machines that are free first";
   }
 }
-INSTANTIATE_TEST_SUITE_P(Table, Gather,
-                         testing::Values(GatherCase{"not_yet", 5, 2, 0}, GatherCase{"long_enough", 30, 2, 2},
-                                         GatherCase{"the_oldest_may_even_in_a_small_part", 30, 1, 2}),
-                         [](const auto& info) { return std::string(info.param.name); });
+INSTANTIATE_TEST_SUITE_P(
+    Table, GangReservation,
+    testing::Values(ReservationCase{"not_yet", 5, 2, 0}, ReservationCase{"long_enough", 30, 2, 2},
+                    ReservationCase{"the_oldest_may_even_in_a_small_partition", 30, 1, 2}),
+    [](const auto& info) { return std::string(info.param.name); });
 
 // Small jobs come without end and each takes what comes free: the gang begins only because room is kept for
 // it.
-TEST(Gather, LargestGangBeginsUnderAStreamOfSmallOnes) {
+TEST(GangReservations, LargestGangBeginsUnderAStreamOfSmallOnes) {
   for (const bool kept : {true, false}) {
     auto free_gpus = std::vector<double>{0, 0};  // of two machines, all taken by tasks of one accelerator
-    std::vector<std::vector<double>> tombstones{{1, 2, 3, 4}, {1.5, 2.5, 3.5, 4.5}};
+    std::vector<std::vector<double>> ends{{1, 2, 3, 4}, {1.5, 2.5, 3.5, 4.5}};
     core::JobId reserved[2];
     bool began = false;
     for (double t = 0; t < 60 && !began; t += 0.5) {
       for (std::size_t m = 0; m < 2; ++m)
-        free_gpus[m] += static_cast<double>(std::erase_if(tombstones[m], [&](double e) { return e <= t; }));
+        free_gpus[m] += static_cast<double>(std::erase_if(ends[m], [&](double e) { return e <= t; }));
       std::vector<Node> nodes{full(0), full(1)};
       std::vector<RunningTask> busy;
       for (std::uint32_t m = 0; m < 2; ++m) {
         nodes[m].free = {free_gpus[m] * 8, free_gpus[m], free_gpus[m] * 64};
         nodes[m].reserved_for = reserved[m];
-        for (const double e : tombstones[m]) {
+        for (const double e : ends[m]) {
           auto r = running(1, m, 1, 1);
-          r.left_s = e - t;
+          r.remaining_s = e - t;
           busy.push_back(r);
         }
       }
@@ -185,9 +186,9 @@
         began = began || p.demand == 1;
         if (p.demand == 0) {
           free_gpus[p.machine.index] -= 1;
-          tombstones[p.machine.index].push_back(t + 4);
+          ends[p.machine.index].push_back(t + 4);
           auto r = running(1, p.machine.index, 1, 1);
-          r.left_s = 4;
+          r.remaining_s = 4;
           busy.push_back(r);
         }
       }
@@ -201,12 +202,12 @@
 }
 
 // Room that replicas take never comes free by itself: no gang is kept waiting for it.
-TEST(Gather, DoesNotWaitForReplicas) {
+TEST(GangReservations, DoesNotWaitForReplicas) {
   for (const bool endless : {false, true}) {
     auto d = demand(1, 1);
     d.waited_s = 60;
     auto r = running(1, 0, 3, 4);
-    r.left_s = endless ? jobs::kNoEnd : 30;
+    r.remaining_s = endless ? jobs::kNoEnd : 30;
     auto n = full(0);
     n.free = {};
     EXPECT_EQ(reserve_for_gangs({n}, {d}, {0}, {r}, {TeamQuota{}, TeamQuota{}}, 10, 1).size(),
