--- /dev/null
+++ b/tests/scheduling/round_view_test.cpp
@@ -0,0 +1,144 @@
+#include "scheduling/round_view.hpp"
+
+#include <gtest/gtest.h>
+
+#include "assignments/single_partition.hpp"
+
+namespace finchrun::scheduling {
+namespace {
+
+using assignments::AssignmentWriter;
+using assignments::PlannedTransaction;
+using assignments::SinglePartition;
+
+const core::TimePoint kNow(core::secs(1000));
+
+// Zones a and b with one partition each, of which a.0 is ours. One job of six tasks: three in each partition.
+struct TwoZones : testing::Test {
+  static config::Settings settings() {
+    auto settings = assignments::single_partition_settings();
+    settings.zones = {"a", "b"};
+    return settings;
+  }
+  core::JobId job(jobs::Shape shape, bool one_zone, bool spread) {
+    jobs::JobRecord record;
+    record.spec.job_class = state.names.job_classes.intern("batch");
+    record.spec.team = core::TeamId{0};
+    record.spec.image = state.names.images.intern("img");
+    record.spec.shape = shape;
+    record.spec.tasks = 6;
+    record.spec.one_zone = one_zone;
+    record.spec.spread = spread;
+    record.ranges = {{0, 3, ours}, {3, 6, other}};
+    state.cache.apply({"jobs/req-1", jobs::to_json(record, state.names), ++deployment.revision});
+    return *state.names.jobs.find("req-1");
+  }
+  void place(core::JobId job, core::PartitionId partition, std::uint32_t task) {
+    AssignmentWriter writer(state, partition);
+    writer.add(job, {{task, 9, state.names.machines.intern("host-1"), 1}});
+    PlannedTransaction transaction;
+    writer.finish(transaction);
+    deployment.apply(transaction);
+  }
+  std::optional<sched::Demand> demand(core::JobId job) {
+    return demand_of(state, job, ours, WaitingTasks(state.cache, job));
+  }
+  SinglePartition deployment{settings()};
+  controller::ControllerState& state = deployment.w;
+  core::PartitionId ours{0}, other{1};
+};
+
+TEST_F(TwoZones, ArrayWaitsInEachPartitionForTheTasksOfItsRange) {
+  const auto id = job(jobs::Shape::array, false, false);
+  place(id, ours, 0);
+  const auto found = demand(id);
+  ASSERT_TRUE(found);
+  EXPECT_EQ(found->tasks, (std::vector<std::uint32_t>{1, 2}));
+  EXPECT_EQ(found->count, 2u);
+  EXPECT_EQ(found->room_in_zone, 5u);
+}
+
+// `spread`: half of the six tasks may be in one zone, rounded up.
+TEST_F(TwoZones, SpreadJobMayUseHalfOfItsTasksInOneZone) {
+  const auto id = job(jobs::Shape::array, false, true);
+  EXPECT_EQ(room_in_zone(state, id, ours), 3u);
+  place(id, ours, 0);
+  EXPECT_EQ(room_in_zone(state, id, ours), 2u);
+  place(id, other, 3);
+  EXPECT_EQ(room_in_zone(state, id, ours), 2u);
+}
+
+TEST_F(TwoZones, JobOfOneZoneWaitsWhileATaskMayRunInAnother) {
+  const auto id = job(jobs::Shape::array, true, false);
+  EXPECT_EQ(room_in_zone(state, id, ours), 6u);
+  place(id, other, 3);
+  EXPECT_EQ(room_in_zone(state, id, ours), 0u);
+  EXPECT_EQ(room_in_zone(state, id, other), 5u);
+}
+
+TEST_F(TwoZones, GangWaitsUntilItsEarlierAttemptIsGoneEverywhere) {
+  const auto gang = deployment.job("req-2", 2, jobs::Shape::gang);
+  EXPECT_EQ(demand(gang)->tasks.size(), 2u);
+  place(gang, other, 1);
+  EXPECT_FALSE(demand(gang));
+}
+
+TEST(LimitInPartition, OfALimitedTeamIsNeverNone) {
+  EXPECT_DOUBLE_EQ(limit_in_partition(0, 0), 0);
+  EXPECT_DOUBLE_EQ(limit_in_partition(8, 2), 2);
+  EXPECT_GT(limit_in_partition(8, 0), 0);
+  EXPECT_LT(limit_in_partition(8, 0), core::Resources::kSlack);
+}
+
+TEST_F(TwoZones, NodeShowsCordonReservationAndFetches) {
+  cloud::MachineType type;
+  type.size = {32, 4, 256};
+  auto& machine = state.fleet.intern(state.names, "host-1");
+  const auto id = job(jobs::Shape::standing, false, false);
+  place(id, ours, 0);
+  machine.cordoned_until = kNow + core::secs(1);
+  machine.reserved_for = core::JobId{9};
+  machine.reserved_ready = kNow + core::secs(7);
+  machine.reserved_until = kNow + core::secs(20);
+  const auto before = node_of(state, machine, type, kNow);
+  EXPECT_EQ(before.fetching, 1u);
+  EXPECT_EQ(before.replicas, (std::vector<core::JobId>{id}));
+  EXPECT_EQ(before.reserved_for, core::JobId{9});
+  EXPECT_DOUBLE_EQ(before.reserved_in_s, 7);
+  EXPECT_GT(before.risk_s, 0);
+  const auto later = node_of(state, machine, type, kNow + core::secs(20));
+  EXPECT_FALSE(later.reserved_for.valid());
+  EXPECT_DOUBLE_EQ(later.risk_s, 0);
+}
+
+struct DecidesCase {
+  const char* name;
+  bool loaded, machine_types_known, leads;
+  double cache_age_s;
+  bool fence_due;
+  bool decides;
+};
+class RoundDecides : public testing::TestWithParam<DecidesCase> {};
+TEST_P(RoundDecides, OnlyOnWhatItKnowsToBeFresh) {
+  const auto& c = GetParam();
+  SinglePartition deployment;
+  auto& state = deployment.w;
+  state.loaded = c.loaded;
+  if (c.machine_types_known) state.fleet.machine_types.emplace_back();
+  if (!c.leads) state.incarnation = 8;
+  state.fence_due[0] = c.fence_due;
+  state.synchronized_at = kNow - core::secs(c.cache_age_s);
+  EXPECT_EQ(build_round_view(state, 2, kNow).has_value(), c.decides);
+}
+INSTANTIATE_TEST_SUITE_P(Table, RoundDecides,
+                         testing::Values(DecidesCase{"leader", true, true, true, 1, false, true},
+                                         DecidesCase{"cache_not_loaded", false, true, true, 1, false, false},
+                                         DecidesCase{"cache_too_old", true, true, true, 2.5, false, false},
+                                         DecidesCase{"no_machine_types", true, false, true, 1, false, false},
+                                         DecidesCase{"not_the_leader", true, true, false, 1, false, false},
+                                         DecidesCase{"late_write_possible", true, true, true, 1, true,
+                                                     false}),
+                         [](const auto& info) { return std::string(info.param.name); });
+
+}  // namespace
+}  // namespace finchrun::scheduling
--- /dev/null
+++ b/tests/scheduling/scheduling_round_test.cpp
@@ -0,0 +1,88 @@
+#include "scheduling/scheduling_round.hpp"
+
+#include <gtest/gtest.h>
+
+namespace finchrun::scheduling {
+namespace {
+
+constexpr core::PartitionId kPartition{0};
+constexpr std::uint64_t kFencingToken = 41;
+
+sched::Demand demand(std::uint32_t job, std::uint32_t tasks, bool gang) {
+  sched::Demand demand;
+  demand.job = core::JobId{job};
+  demand.team = core::TeamId{0};
+  demand.need = {8, 1, 64};
+  demand.gang = gang;
+  demand.count = tasks;
+  for (std::uint32_t task = 0; task < tasks; ++task) demand.tasks.push_back(task);
+  return demand;
+}
+
+struct PiecesCase {
+  const char* name;
+  std::vector<bool> gangs;          // by demand
+  std::vector<std::size_t> placed;  // tasks, by demand
+  std::vector<std::size_t> pieces;  // tasks in each, in their order
+};
+class RecordablePieces : public testing::TestWithParam<PiecesCase> {};
+TEST_P(RecordablePieces, FitIntoOneTransactionEach) {
+  const auto& c = GetParam();
+  std::vector<sched::Demand> demands;
+  std::vector<sched::Placement> placements;
+  for (std::uint32_t i = 0; i < c.placed.size(); ++i) {
+    demands.push_back(demand(i, 9, c.gangs[i]));
+    for (std::uint32_t task = 0; task < c.placed[i]; ++task)
+      placements.push_back({i, task, core::MachineId{task}});
+  }
+  const std::vector<sched::Costs> costs(demands.size());
+  std::vector<std::size_t> pieces;
+  for (const auto& piece : recordable_pieces(kPartition, kFencingToken, placements, demands, costs, 3)) {
+    EXPECT_EQ(piece.fencing_token, kFencingToken);
+    pieces.push_back(piece.tasks.size());
+  }
+  EXPECT_EQ(pieces, c.pieces);
+}
+INSTANTIATE_TEST_SUITE_P(Table, RecordablePieces,
+                         testing::Values(PiecesCase{"nothing_placed", {false}, {0}, {}},
+                                         PiecesCase{"array_that_fits", {false}, {3}, {3}},
+                                         PiecesCase{"array_in_pieces", {false}, {7}, {3, 3, 1}},
+                                         PiecesCase{"gang_as_a_whole", {true}, {7}, {7}},
+                                         PiecesCase{"none_shared_by_jobs", {false, true}, {2, 1}, {2, 1}}),
+                         [](const auto& info) { return std::string(info.param.name); });
+
+TEST(SubtractPlaced, LeavesTheTasksThatStillWait) {
+  std::vector<sched::Demand> demands{demand(0, 3, false), demand(1, 2, false), demand(2, 2, true)};
+  demands[0].count = 500;  // more than the round looks at
+  sched::Plan plan;
+  plan.placements = {{0, 0, core::MachineId{0}}, {0, 1, core::MachineId{1}}};
+  plan.unplaced = {0, 1, 2};
+  subtract_placed(plan, demands);
+  EXPECT_EQ(demands[0].tasks, (std::vector<std::uint32_t>{2}));
+  EXPECT_EQ(demands[0].count, 498u);
+  EXPECT_EQ(demands[1].tasks.size(), 2u);
+  EXPECT_EQ(demands[2].count, 2u);
+}
+
+TEST(Summarize, TellsQuotaFromReservationsAndFreeFromReservedRoom) {
+  sched::Plan plan;
+  plan.nodes.resize(2);
+  plan.nodes[0].free = {8, 1, 64};
+  plan.nodes[1].free = {16, 2, 128};
+  plan.nodes[1].reserved_for = core::JobId{1};
+  plan.teams = {sched::TeamQuota{{}, 0, 2}};
+  plan.unplaced = {0, 1};
+  // The array's next task is within the quota of two accelerators; the gang as a whole is not.
+  std::vector<sched::Demand> demands{demand(0, 9, false), demand(1, 3, true)};
+  demands[1].has_reservation = true;
+  const auto summary = summarize(plan, demands);
+  EXPECT_EQ(summary.machines, 2u);
+  EXPECT_EQ(summary.reserved, 1u);
+  EXPECT_DOUBLE_EQ(summary.free.gpus, 1);
+  EXPECT_DOUBLE_EQ(summary.reserved_free.gpus, 2);
+  EXPECT_EQ(summary.over_quota, 1u);
+  EXPECT_EQ(summary.with_reservation, 1u);
+}
+
+}  // namespace
+}  // namespace finchrun::scheduling
