--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -92,6 +92,7 @@
 std::vector<sched::GuaranteeUsage> guarantees_of(const std::vector<config::Team>& teams,
                                                  const std::vector<core::Resources>& used) {
   std::vector<sched::GuaranteeUsage> guarantees;
+  guarantees.reserve(used.size());
   for (std::size_t team = 0; team < used.size(); ++team)
     guarantees.push_back({used[team], teams[team].cpus, teams[team].gpus});
   return guarantees;
