--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -2,103 +2,159 @@
 
 #include <spdlog/spdlog.h>
 
+#include <map>
+
 namespace finchrun::scheduling {
 
+namespace {
+
 namespace json = boost::json;
 using assignments::PlannedTransaction;
 using controller::ControllerState;
+using ledger::QuotaShares;
 using state::CommitStatus;
 
-void QuotaSharing::collect(core::PartitionId partition, const sched::Plan& plan,
-                           const std::vector<sched::Demand>& demands,
-                           const std::vector<core::Resources>& used) {
-  std::map<core::TeamId, core::Resources> more;
-  for (const auto i : plan.unplaced) {
-    const auto& d = demands[i];
-    const auto& room = plan.teams.at(d.team.index);
-    const double n = d.gang ? static_cast<double>(d.tasks.size()) : 1;
-    if (room.allows(d.need * n)) continue;
-    // As many tasks of an array as could start at once, not all that wait.
-    const double requested = d.gang ? n : static_cast<double>(std::min<std::size_t>(d.tasks.size(), 16));
-    auto total = room.used;
-    total += d.need * requested;
-    auto& m = more[d.team];
-    if (d.gang) {
-      m.cpus = std::max(m.cpus, total.cpus - room.cpus_max);
-      m.gpus = std::max(m.gpus, total.gpus - room.gpus_max);
-    } else {
-      m.cpus += d.need.cpus * requested;
-      m.gpus += d.need.gpus * requested;
+constexpr std::size_t kMaxArrayTasksRequested = 16;  // as many as could start at once, not all that wait
+constexpr double kLeastAmount = 1e-3;       // processors or accelerators worth a change of the record
+constexpr double kRequestGrowth = 1.25;     // a request is raised only by more than this factor
+constexpr double kWithdrawalIntervalS = 2;  // at least between two withdrawals of this controller
+
+enum class RequestChange { none, raised, withdrawn };
+
+bool notable(const core::Resources& amount) {
+  return amount.cpus > kLeastAmount || amount.gpus > kLeastAmount;
+}
+bool exceeds(const core::Resources& amount, const core::Resources& other, double factor) {
+  return amount.cpus > other.cpus * factor + kLeastAmount || amount.gpus > other.gpus * factor + kLeastAmount;
+}
+
+// Adds what the unplaced demand lacks of its team's share, if the share is what it waits for.
+void add_lacking(core::Resources& lacking, const sched::TeamQuota& quota, const sched::Demand& demand) {
+  const auto waiting = demand.tasks.size();
+  const double at_once = demand.gang ? static_cast<double>(waiting) : 1;
+  if (quota.allows(demand.need * at_once)) return;
+  if (demand.gang) {
+    auto total = quota.used;
+    total += demand.need * at_once;
+    lacking.cpus = std::max(lacking.cpus, total.cpus - quota.cpus_max);
+    lacking.gpus = std::max(lacking.gpus, total.gpus - quota.gpus_max);
+  } else {
+    const auto requested = static_cast<double>(std::min(waiting, kMaxArrayTasksRequested));
+    lacking.cpus += demand.need.cpus * requested;
+    lacking.gpus += demand.need.gpus * requested;
+  }
+}
+
+// Raises or withdraws the partition's request, if that is worth a change of the record.
+RequestChange update_request(QuotaShares& shares, const QuotaShortage& shortage, bool may_withdraw) {
+  const auto before = shares.requested(shortage.partition);
+  // What the team uses in all partitions together is near its limit: nobody has anything to grant.
+  auto more = shortage.lacking;
+  more.cpus = std::min(more.cpus, shares.limit().cpus - shortage.team_used.cpus);
+  more.gpus = std::min(more.gpus, shares.limit().gpus - shortage.team_used.gpus);
+  if (notable(more)) {
+    if (!exceeds(more, before, kRequestGrowth)) return RequestChange::none;
+    shares.ask(shortage.partition, more);
+    // The limit may leave less to ask for.
+    const bool raised = exceeds(shares.requested(shortage.partition), before, 1);
+    return raised ? RequestChange::raised : RequestChange::none;
+  }
+  if (!notable(before) || !may_withdraw) return RequestChange::none;
+  shares.ask(shortage.partition, {});
+  return RequestChange::withdrawn;
+}
+
+json::value to_record(const ControllerState& state, const QuotaShares& shares) {
+  json::object partitions;
+  for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
+    const core::PartitionId partition{p};
+    const auto& share = shares.share(partition);
+    const auto& requested = shares.requested(partition);
+    partitions[state.names.partitions.name(partition)] =
+        json::array{share.cpus, share.gpus, requested.cpus, requested.gpus};
+  }
+  return json::object{{"parts", std::move(partitions)}};
+}
+
+// Nothing if the team's record stays as it is.
+std::optional<PlannedTransaction> plan_team(const ControllerState& state, core::TeamId team,
+                                            const std::vector<QuotaShortage>& shortages,
+                                            core::TimePoint& request_withdrawn_at, core::TimePoint now) {
+  const auto& team_name = state.names.teams.name(team);
+  auto shares = state.quota_shares(team);
+  PlannedTransaction transaction;
+  bool changed = false;
+  for (const auto& shortage : shortages) {
+    const auto partition = shortage.partition;
+    if (shortage.team != team || !state.leads(partition) || state.fence_due[partition.index]) continue;
+    const bool may_withdraw = core::since(request_withdrawn_at, now) > kWithdrawalIntervalS;
+    const auto request = update_request(shares, shortage, may_withdraw);
+    if (request == RequestChange::withdrawn) request_withdrawn_at = now;
+    changed |= request != RequestChange::none;
+    const auto& name = state.names.partitions.name(partition);
+    if (shares.give(partition, shortage.used)) {
+      changed = true;
+      transaction.log.push_back(fmt::format("quota granted team={} from={}", team_name, name));
     }
+    transaction.compares.push_back({state::keys::partition(name), state.fencing_token(partition)});
+    transaction.compares.push_back({state::keys::fence(name), state.cache.fence(partition)});
   }
-  for (std::uint32_t t = 0; t < plan.teams.size(); ++t) {
-    const core::TeamId team{t};
-    Shortage s{partition, team, plan.teams[t].used, {}, used[t]};
-    if (const auto m = more.find(team); m != more.end()) s.more = m->second;
-    shortages_.push_back(s);
+  if (!changed) return std::nullopt;
+  const auto key = state::keys::team(team_name);
+  transaction.compares.push_back({key, state.cache.team(team).revision});
+  transaction.writes.push_back({key, to_record(state, shares)});
+  return transaction;
+}
+
+}  // namespace
+
+std::vector<QuotaShortage> quota_shortages(core::PartitionId partition, const sched::Plan& plan,
+                                           const std::vector<sched::Demand>& demands,
+                                           const std::vector<core::Resources>& team_used) {
+  std::vector<QuotaShortage> shortages;
+  for (std::uint32_t t = 0; t < plan.teams.size(); ++t)
+    shortages.push_back({partition, core::TeamId{t}, plan.teams[t].used, {}, team_used[t]});
+  for (const auto i : plan.unplaced) {
+    const auto team = demands[i].team.index;
+    add_lacking(shortages.at(team).lacking, plan.teams.at(team), demands[i]);
   }
+  return shortages;
+}
+
+QuotaSharingPlan plan_quota_sharing(const ControllerState& state, const std::vector<QuotaShortage>& shortages,
+                                    core::TimePoint request_withdrawn_at, core::TimePoint now) {
+  QuotaSharingPlan plan{{}, request_withdrawn_at};
+  for (std::uint32_t t = 0; t < state.settings.teams.size(); ++t) {
+    const auto& team = state.settings.teams[t];
+    if (team.cpus_max <= 0 && team.gpus_max <= 0) continue;
+    if (auto transaction = plan_team(state, core::TeamId{t}, shortages, plan.request_withdrawn_at, now))
+      plan.transactions.push_back(std::move(*transaction));
+  }
+  return plan;
+}
+
+void QuotaSharing::collect(core::PartitionId partition, const sched::Plan& plan,
+                           const std::vector<sched::Demand>& demands,
+                           const std::vector<core::Resources>& team_used) {
+  const auto found = quota_shortages(partition, plan, demands, team_used);
+  shortages_.insert(shortages_.end(), found.begin(), found.end());
 }
 
-// One change of a team's record a round at most: our partitions' new wishes, and what we can give to others.
 asio::awaitable<void> QuotaSharing::share() {
-  std::vector<PlannedTransaction> edits;
   const auto now = core::Steady::now();
-  state_.with([&](ControllerState& w) {
-    for (std::uint32_t t = 0; t < w.settings.teams.size(); ++t) {
-      const core::TeamId team{t};
-      if (w.settings.teams[t].cpus_max <= 0 && w.settings.teams[t].gpus_max <= 0) continue;
-      auto quota_shares = w.quota_shares(team);
-      bool changed = false;
-      PlannedTransaction e;
-      for (const auto& s : shortages_) {
-        if (s.team != team || !w.leads(s.partition) || w.fence_due[s.partition.index]) continue;
-        const auto before = quota_shares.requested(s.partition);
-        // What the team uses in all partitions together is near its limit: nobody has anything to give.
-        auto more = s.more;
-        const auto& limit = quota_shares.limit();
-        more.cpus = std::min(more.cpus, limit.cpus - s.team_used.cpus);
-        more.gpus = std::min(more.gpus, limit.gpus - s.team_used.gpus);
-        const bool wants = more.cpus > 1e-3 || more.gpus > 1e-3;
-        const bool wished = before.cpus > 1e-3 || before.gpus > 1e-3;
-        if (wants && (more.cpus > before.cpus * 1.25 + 1e-3 || more.gpus > before.gpus * 1.25 + 1e-3)) {
-          quota_shares.ask(s.partition, more);
-          changed |= quota_shares.requested(s.partition).cpus > before.cpus + 1e-3 ||
-                     quota_shares.requested(s.partition).gpus > before.gpus + 1e-3;
-        } else if (!wants && wished && core::since(last_request_withdrawn_, now) > 2) {
-          quota_shares.ask(s.partition, {});
-          last_request_withdrawn_ = now;
-          changed = true;
-        }
-        if (quota_shares.give(s.partition, s.used)) {
-          changed = true;
-          spdlog::info("allowance given team={} part={}", w.names.teams.name(team),
-                       w.names.partitions.name(s.partition));
-        }
-        const auto& name = w.names.partitions.name(s.partition);
-        e.compares.push_back({state::keys::partition(name), w.fencing_token(s.partition)});
-        e.compares.push_back({state::keys::fence(name), w.cache.fence(s.partition)});
-      }
-      if (!changed) continue;
-      const auto key = state::keys::team(w.names.teams.name(team));
-      e.compares.push_back({key, w.cache.team(team).revision});
-      json::object partitions;
-      for (std::uint32_t p = 0; p < w.partitions.size(); ++p) {
-        const auto& share = quota_shares.share(core::PartitionId{p});
-        const auto& requested = quota_shares.requested(core::PartitionId{p});
-        partitions[w.names.partitions.name(core::PartitionId{p})] =
-            json::array{share.cpus, share.gpus, requested.cpus, requested.gpus};
-      }
-      e.writes.push_back({key, json::object{{"parts", std::move(partitions)}}});
-      edits.push_back(std::move(e));
-    }
+  auto plan = state_.with([&](ControllerState& state) {
+    return plan_quota_sharing(state, shortages_, request_withdrawn_at_, now);
   });
+  request_withdrawn_at_ = plan.request_withdrawn_at;
   // One transaction each: a conflict over one team must not hold up the others.
-  for (auto& e : edits) {
+  for (auto& planned : plan.transactions) {
     if (!store_.spend(1, state::KeyValueStore::For::records)) co_return;
-    state::Transaction txn{e.compares, std::move(e.writes)};
-    const auto result = co_await follower_.commit(std::move(txn));
-    // Applied late, it would take away an allowance that is in use by then.
-    if (result.outcome == CommitStatus::unknown) recorder_.require_new_fences(e.compares);
+    state::Transaction transaction{planned.compares, std::move(planned.writes)};
+    const auto result = co_await follower_.commit(std::move(transaction));
+    // Applied late, it would take away a share that is in use by then.
+    if (result.outcome == CommitStatus::unknown) recorder_.require_new_fences(planned.compares);
+    if (result.outcome != CommitStatus::done) continue;
+    for (const auto& line : planned.log) spdlog::info("{}", line);
   }
 }
 
--- a/src/scheduling/quota_sharing.hpp
+++ b/src/scheduling/quota_sharing.hpp
@@ -1,4 +1,4 @@
-// Shares of a team's limit move between partitions, from where they are not used to where they are missing.
+// Shares of a team's quota move between partitions, from where they are not used to where they are missing.
 #pragma once
 
 #include <vector>
@@ -13,7 +13,41 @@
 
 namespace asio = boost::asio;
 
-/// Requests and gives shares of team limits, by compare-and-swap on the team's record.
+/// What a team uses of its share in one of our partitions, and what its waiting tasks lack there.
+struct QuotaShortage {
+  core::PartitionId partition;
+  core::TeamId team;
+  core::Resources used, lacking;
+  core::Resources team_used;  // in all partitions
+};
+
+/// What a scheduling round's plan for one partition says of each team, in order of team.
+/// `team_used`: by team, in all partitions.
+std::vector<QuotaShortage> quota_shortages(core::PartitionId partition, const sched::Plan& plan,
+                                           const std::vector<sched::Demand>& demands,
+                                           const std::vector<core::Resources>& team_used);
+
+struct QuotaSharingPlan {
+  /// One for each team whose record changes; with what to log once it is applied.
+  std::vector<assignments::PlannedTransaction> transactions;
+  core::TimePoint request_withdrawn_at;  // as given, or now if a request is withdrawn
+};
+
+/// What this controller changes in the teams' records for the partitions that it leads: their requests for
+/// more, and what they grant to other partitions' requests.
+///
+/// Rule `quota`: a team's shares always add up to its limit, so a grant moves what it takes. Only a
+/// partition's leader lowers the partition's share, to no less than it uses there; so each transaction
+/// compares the fencing tokens and fences of the partitions that it spoke for, and nothing is granted from a
+/// partition where a write without an answer may still be applied. Placements compare the team's record, so
+/// that they fail after a grant that they did not know of.
+///
+/// `request_withdrawn_at`: when this controller last withdrew a request.
+QuotaSharingPlan plan_quota_sharing(const controller::ControllerState& state,
+                                    const std::vector<QuotaShortage>& shortages,
+                                    core::TimePoint request_withdrawn_at, core::TimePoint now);
+
+/// Requests and grants shares of team quotas, by compare-and-swap on the team's record.
 class QuotaSharing {
  public:
   QuotaSharing(controller::SharedState& state, state::KeyValueStore& store,
@@ -26,23 +60,16 @@
   /// `team_used`: by team, in all partitions.
   void collect(core::PartitionId partition, const sched::Plan& plan,
                const std::vector<sched::Demand>& demands, const std::vector<core::Resources>& team_used);
-  /// One change of a team's record at most: new requests of our partitions, and what they can give to others.
+  /// Commits one change of each team's record at most, as far as the store's budget of writes goes.
   asio::awaitable<void> share();
 
  private:
-  // What a team uses of its share in one of our partitions, and what it lacks there.
-  struct Shortage {
-    core::PartitionId partition;
-    core::TeamId team;
-    core::Resources used, more, team_used;  // `team_used`: in all partitions
-  };
-
   controller::SharedState& state_;
   state::KeyValueStore& store_;
   coordination::StateFollower& follower_;
   assignments::PlacementRecorder& recorder_;
-  std::vector<Shortage> shortages_;
-  core::TimePoint last_request_withdrawn_{};
+  std::vector<QuotaShortage> shortages_;
+  core::TimePoint request_withdrawn_at_{};
 };
 
 }  // namespace finchrun::scheduling
