--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -1,14 +1,64 @@
 #include "controller/controller_state.hpp"
 
+#include <algorithm>
+
+#include "controller/quota_usage.hpp"
+
 namespace finchrun::controller {
 namespace {
 
-jobs::Names names_for(const config::Settings& s) {
+constexpr double kMaxStateAgeToStartS = 2.0;
+
+// An agent that lets this many of its heartbeats be missed, and a moment for the way, is not seen to obey.
+constexpr double kHeartbeatsMissed = 2.5;
+constexpr double kHeartbeatDelayS = 1.0;
+
+constexpr double kJobClassFade = 0.98;  // of a job class's tasks, a round
+
+// Estimates are often wrong by half; the fetch and the rounds on the way take their time too.
+constexpr double kRunTimeMargin = 1.5;
+constexpr double kImageFetchSPerGb = 2;
+constexpr double kHeartbeatsToStart = 4;
+
+// Of the objective's own time; the rest is for making room and starting.
+constexpr double kGuaranteeGraceShare = 0.3;
+constexpr double kGuaranteeGraceS = 5;  // without an objective
+
+jobs::Names names_for(const config::Settings& settings) {
   jobs::Names names;
-  for (const auto& t : s.teams) names.teams.intern(t.name);
+  for (const auto& team : settings.teams) names.teams.intern(team.name);
   return names;
 }
 
+// By accelerators if the team is guaranteed any, else by processors.
+double fair_share_weight(const config::Team& team) {
+  if (team.gpus > 0) return team.gpus;
+  return team.cpus > 0 ? team.cpus : 1.0;
+}
+
+// Forgets what was kept of an attempt that has ended and needs no record any more.
+void forget_attempt(agent::Fleet& fleet, const agent::TaskAttempt& attempt, std::uint64_t fencing_token) {
+  fleet.confirmed_starts.erase(attempt);
+  fleet.preempting.erase(attempt);
+  fleet.stop_retries.erase(attempt);
+  const auto start = fleet.direct_starts.find(attempt);
+  if (start == fleet.direct_starts.end()) return;
+  // Without an answer it may still be carried out, while the agent obeys this fencing token.
+  if (start->second.answered_sequence || start->second.fencing_token != fencing_token)
+    fleet.direct_starts.erase(start);
+}
+
+// Some objective asks for a deadline of the job class, and none for anything else.
+bool only_deadlines_asked(const std::vector<config::Objective>& objectives, const std::string& job_class) {
+  bool deadline = false;
+  for (const auto& objective : objectives) {
+    if (objective.job_class != job_class) continue;
+    if (objective.kind != "deadline") return false;
+    deadline = true;
+  }
+  return deadline;
+}
+
 }  // namespace
 
 ControllerState::ControllerState(const config::Settings& deployment_settings,
@@ -18,63 +68,129 @@
       names(names_for(deployment_settings)),
       partitions(settings, tuning, names),
       cache(names, partitions.size(), settings.teams.size()),
-      usage(partitions.size(),
-            ledger::UsageWindows(settings.teams.size(), tuning.window_s, tuning.windows, tuning.decay)),
-      usage_from(partitions.size(), 0),
       cancellations_confirmed_at(settings.members.size()),
       leader_missing_since(partitions.size()),
+      leading_since(partitions.size()),
       fence_due(partitions.size(), 0),
       fenced_at(partitions.size(), 0),
-      leading_since(partitions.size()) {
-  for (const auto& team : settings.teams)
-    shares.push_back(team.gpus > 0 ? team.gpus : team.cpus > 0 ? team.cpus : 1.0);
+      usage(partitions.size(),
+            ledger::UsageWindows(settings.teams.size(), tuning.window_s, tuning.windows, tuning.decay)),
+      usage_from(partitions.size(), 0) {
+  for (const auto& team : settings.teams) shares.push_back(fair_share_weight(team));
+}
+
+bool ControllerState::holds_leadership(core::PartitionId partition) const {
+  const auto& leadership = cache.leadership(partition);
+  return loaded && incarnation != 0 && leadership.leader == settings.label &&
+         leadership.incarnation == incarnation;
+}
+
+bool ControllerState::leads(core::PartitionId partition) const {
+  return holds_leadership(partition) && cache.revision() >= cache.leadership(partition).revision &&
+         cache.readable(partition);
+}
+
+bool ControllerState::all_members_know(std::uint64_t level) const {
+  const auto& members = cache.members();
+  return !members.empty() && std::all_of(members.begin(), members.end(),
+                                         [&](const auto& member) { return member.second.level >= level; });
+}
+
+bool ControllerState::all_controllers_know(std::uint64_t level) const {
+  return std::all_of(settings.members.begin(), settings.members.end(), [&](const config::Member& member) {
+    const auto last = cache.last_level(member.label);
+    return last && *last >= level;
+  });
+}
+
+core::TimePoint ControllerState::cancellations_known_at(core::TimePoint now) const {
+  // A controller that the settings don't name might confirm some, and tells us nothing.
+  const auto controllers_named = static_cast<int>(cancellations_confirmed_at.size()) + 1;
+  if (controllers_named < settings.nodes) return synchronized_at;
+  core::TimePoint confirmed_by_all = now;
+  for (const auto at : cancellations_confirmed_at) confirmed_by_all = std::min(confirmed_by_all, at);
+  return std::max(synchronized_at, confirmed_by_all);
+}
+
+bool ControllerState::may_renew_leases(core::TimePoint now) const {
+  return core::since(cancellations_known_at(now), now) < settings.renewal_window_s();
+}
+
+double ControllerState::silent_s(const agent::Machine& machine, core::TimePoint now) const {
+  const auto leader_since = leading_since.at(machine.partition.index);
+  return core::since(std::max({machine.last_heartbeat, machine.first_seen, leader_since}), now);
+}
+
+bool ControllerState::usable(const agent::Machine& machine, core::TimePoint now) const {
+  const bool obeys = machine.has_heartbeat && machine.fencing_token == fencing_token(machine.partition);
+  if (!obeys || machine.unreachable() || machine.unrecorded_tasks > 0) return false;
+  if (machine.termination_notice_s || machine.quarantined || machine.terminating || machine.gone)
+    return false;
+  // A new leader has its answers to the new fencing token before the agent comes by itself.
+  const auto seen = std::max(machine.last_heartbeat, leading_since.at(machine.partition.index));
+  return core::since(seen, now) < kHeartbeatsMissed * settings.report_s + kHeartbeatDelayS;
 }
 
 core::Resources ControllerState::used_on(core::MachineId id) const {
   core::Resources used;
-  for (const auto& p : cache.on_machine(id))
-    if (const auto* job = cache.job(p.job); job && !fleet.ended(p.job, p.partition, p.assignment))
+  for (const auto& [job_id, partition, assignment] : cache.on_machine(id))
+    if (const auto* job = cache.job(job_id); job && !fleet.ended(job_id, partition, assignment))
       used += job->spec.need;
   return used;
 }
 
-// Facts whose entry is recorded no more, or whose partition is another leader's, are settled.
+agent::HeartbeatResult ControllerState::take(agent::Machine& machine, const wire::Heartbeat& heartbeat,
+                                             core::TimePoint now, bool direct) {
+  const bool may_start = core::since(synchronized_at, now) < kMaxStateAgeToStartS;
+  return agent::handle_heartbeat({names, cache, fleet, job_failures, fencing_token(machine.partition), now,
+                                  settings.lease_s, may_start, direct},
+                                 machine, heartbeat);
+}
+
 void ControllerState::drop_recorded_exits() {
   for (auto it = fleet.observed_exits.begin(); it != fleet.observed_exits.end();) {
-    const auto& f = *it;
-    if (holds_leadership(f.partition) && cache.has_assignment(f.job, f.partition, f.task, f.attempt)) {
+    const auto& exit = *it;
+    const bool still_to_record = holds_leadership(exit.partition) &&
+                                 cache.has_assignment(exit.job, exit.partition, exit.task, exit.attempt);
+    if (still_to_record) {
       ++it;
       continue;
     }
-    const agent::TaskAttempt start{f.job, f.task, f.attempt};
-    fleet.confirmed_starts.erase(start);
-    fleet.preempting.erase(start);
-    fleet.stop_retries.erase(start);
-    if (auto s = fleet.direct_starts.find(start); s != fleet.direct_starts.end())
-      if (s->second.answered_sequence || s->second.fencing_token != fencing_token(f.partition))
-        fleet.direct_starts.erase(s);
+    forget_attempt(fleet, {exit.job, exit.task, exit.attempt}, fencing_token(exit.partition));
     it = fleet.observed_exits.erase(it);
   }
 }
 
-std::vector<std::vector<core::Resources>> ControllerState::used_by_partition() const {
-  std::vector<std::vector<core::Resources>> used(partitions.size(),
-                                                 std::vector<core::Resources>(settings.teams.size()));
-  cache.each_run([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
-    const auto* job = run.assignments.empty() ? nullptr : cache.job(id);
-    if (!job || job->spec.team.index >= settings.teams.size()) return;
-    used[partition.index][job->spec.team.index] +=
-        job->spec.need * static_cast<double>(run.assignments.size());
-  });
-  for (const auto& f : fleet.observed_exits) {
-    // Reported as done and as gone: one assignment all the same.
-    if (f.done && fleet.observed_exits.contains({f.job, f.partition, f.task, f.attempt, false})) continue;
-    const auto* job = cache.job(f.job);
-    if (job && job->spec.team.index < settings.teams.size() &&
-        cache.has_assignment(f.job, f.partition, f.task, f.attempt))
-      used[f.partition.index][job->spec.team.index] -= job->spec.need;
+const jobs::JobRecord* ControllerState::find_job(std::string_view name) const {
+  const auto id = names.jobs.find(name);
+  return id ? cache.job(*id) : nullptr;
+}
+
+void ControllerState::observe_job_classes() {
+  job_classes.resize(names.job_classes.size());
+  std::vector<double> unfinished(job_classes.size(), 0.0);
+  for (const auto id : cache.live()) {
+    const auto& spec = cache.job(id)->spec;
+    auto& profile = job_classes[spec.job_class.index];
+    profile.need = spec.need;
+    profile.spot = spec.spot;
+    profile.types = spec.types;
+    unfinished[spec.job_class.index] += unfinished_tasks(cache, id);
   }
-  return used;
+  for (std::size_t i = 0; i < job_classes.size(); ++i)
+    job_classes[i].tasks = std::max(unfinished[i], job_classes[i].tasks * kJobClassFade);
+}
+
+bool ControllerState::deferrable(const jobs::JobSpec& spec, double now_s) const {
+  if (!spec.deadline_s) return false;
+  if (!only_deadlines_asked(settings.objectives, names.job_classes.name(spec.job_class))) return false;
+  const double needs_s = spec.expected_run_s * kRunTimeMargin + spec.image_gb * kImageFetchSPerGb +
+                         kHeartbeatsToStart * settings.report_s;
+  return spec.submitted_s + *spec.deadline_s - now_s > needs_s;
+}
+
+std::vector<std::vector<core::Resources>> ControllerState::used_by_partition() const {
+  return controller::used_by_partition(settings, cache, fleet);
 }
 
 std::vector<core::Resources> ControllerState::used_by_team() const {
@@ -85,78 +201,18 @@
 }
 
 ledger::QuotaShares ControllerState::quota_shares(core::TeamId team) const {
-  const auto& t = settings.teams.at(team.index);
-  ledger::QuotaShares out({t.cpus_max, t.gpus_max, 0}, partitions.size());
-  const auto& record = cache.team(team);
-  for (std::size_t p = 0; p < record.partitions.size(); ++p)
-    out.set(core::PartitionId{static_cast<std::uint32_t>(p)}, record.partitions[p].first,
-            record.partitions[p].second);
-  return out;
+  return controller::quota_shares(settings, cache, team);
 }
 
 std::set<core::JobId> ControllerState::within_guarantee() const {
-  std::vector<std::pair<double, core::JobId>> by_age;
-  for (const auto id : cache.live()) by_age.emplace_back(cache.job(id)->spec.submitted_s, id);
-  std::sort(by_age.begin(), by_age.end());
-  std::vector<core::Resources> asked(settings.teams.size());
-  std::set<core::JobId> out;
-  for (const auto& [_, id] : by_age) {
-    const auto& spec = cache.job(id)->spec;
-    if (spec.team.index >= settings.teams.size()) continue;
-    const auto& team = settings.teams.at(spec.team.index);
-    auto& sum = asked[spec.team.index];
-    sum += spec.need * static_cast<double>(spec.tasks - std::min(spec.tasks, cache.done(id)));
-    const bool gpus = team.gpus <= 0 ? spec.need.gpus <= 0 : sum.gpus <= team.gpus + core::Resources::kSlack;
-    const bool cpus = team.cpus <= 0 || sum.cpus <= team.cpus + core::Resources::kSlack;
-    if ((team.gpus > 0 || team.cpus > 0) && gpus && cpus) out.insert(id);
-  }
-  return out;
-}
-
-bool ControllerState::deferrable(const jobs::JobSpec& spec, double now_s) const {
-  if (!spec.deadline_s) return false;
-  bool deadline = false;
-  for (const auto& o : settings.objectives) {
-    if (o.job_class != names.job_classes.name(spec.job_class)) continue;
-    if (o.kind != "deadline") return false;
-    deadline = true;
-  }
-  // Estimates are often wrong by half; the fetch and the rounds on the way take their time too.
-  const double needs = spec.expected_run_s * 1.5 + spec.image_gb * 2 + 4 * settings.report_s;
-  return deadline && spec.submitted_s + *spec.deadline_s - now_s > needs;
-}
-
-void ControllerState::observe_job_classes() {
-  constexpr double kFade = 0.98;  // a round
-  job_classes.resize(names.job_classes.size());
-  std::vector<double> now(job_classes.size(), 0.0);
-  for (const auto id : cache.live()) {
-    const auto& spec = cache.job(id)->spec;
-    auto& job_class = job_classes[spec.job_class.index];
-    job_class.need = spec.need;
-    job_class.spot = spec.spot;
-    job_class.types = spec.types;
-    now[spec.job_class.index] += spec.tasks - std::min(spec.tasks, cache.done(id));
-  }
-  for (std::size_t l = 0; l < job_classes.size(); ++l)
-    job_classes[l].tasks = std::max(now[l], job_classes[l].tasks * kFade);
-}
-
-agent::HeartbeatResult ControllerState::take(agent::Machine& m, const wire::Heartbeat& r, core::TimePoint now,
-                                             bool direct) {
-  constexpr double kFresh = 2.0;
-  const bool may_start = core::since(synchronized_at, now) < kFresh;
-  return agent::handle_heartbeat({names, cache, fleet, job_failures, fencing_token(m.partition), now,
-                                  settings.lease_s, may_start, direct},
-                                 m, r);
+  return controller::within_guarantee(settings, cache);
 }
 
-bool ControllerState::usable(const agent::Machine& m, core::TimePoint now) const {
-  return m.has_heartbeat && m.fencing_token == fencing_token(m.partition) && !m.termination_notice_s &&
-         !m.quarantined && !m.terminating && !m.gone && !m.unreachable() && m.unrecorded_tasks == 0 &&
-         // A new leader has its answers to the new fencing token before the agent comes by itself.
-         core::since(std::max(m.last_heartbeat, leading_since.at(m.partition.index)), now) <
-             2.5 * settings.report_s + 1.0;
+double ControllerState::guarantee_grace_s() const {
+  for (const auto& objective : settings.objectives)
+    if (objective.kind == "guarantee" && objective.within_s > 0)
+      return kGuaranteeGraceShare * objective.within_s;
+  return kGuaranteeGraceS;
 }
 
 }  // namespace finchrun::controller
--- /dev/null
+++ b/src/controller/quota_usage.cpp
@@ -0,0 +1,91 @@
+#include "controller/quota_usage.hpp"
+
+#include <algorithm>
+
+namespace finchrun::controller {
+
+namespace {
+
+// The job, if its team is of this deployment: teams may have gone from the settings.
+const jobs::JobRecord* job_of_known_team(const config::Settings& settings, const state::StateCache& cache,
+                                         core::JobId id) {
+  const auto* job = cache.job(id);
+  return job && job->spec.team.index < settings.teams.size() ? job : nullptr;
+}
+
+// Reported as done and as gone: one assignment all the same.
+bool reported_twice(const agent::Fleet& fleet, const agent::ObservedExit& exit) {
+  return exit.done &&
+         fleet.observed_exits.contains({exit.job, exit.partition, exit.task, exit.attempt, false});
+}
+
+std::vector<core::JobId> oldest_first(const state::StateCache& cache) {
+  std::vector<std::pair<double, core::JobId>> by_age;
+  for (const auto id : cache.live()) by_age.emplace_back(cache.job(id)->spec.submitted_s, id);
+  std::sort(by_age.begin(), by_age.end());
+  std::vector<core::JobId> jobs;
+  for (const auto& [_, id] : by_age) jobs.push_back(id);
+  return jobs;
+}
+
+// `asked`: by the team's jobs up to the one that needs `need`, that one included.
+bool fits_guarantee(const config::Team& team, const core::Resources& need, const core::Resources& asked) {
+  if (team.gpus <= 0 && team.cpus <= 0) return false;
+  const bool gpus_fit = team.gpus <= 0 ? need.gpus <= 0 : asked.gpus <= team.gpus + core::Resources::kSlack;
+  const bool cpus_fit = team.cpus <= 0 || asked.cpus <= team.cpus + core::Resources::kSlack;
+  return gpus_fit && cpus_fit;
+}
+
+}  // namespace
+
+std::uint32_t unfinished_tasks(const state::StateCache& cache, core::JobId id) {
+  const auto tasks = cache.job(id)->spec.tasks;
+  return tasks - std::min(tasks, cache.done(id));
+}
+
+std::vector<std::vector<core::Resources>> used_by_partition(const config::Settings& settings,
+                                                            const state::StateCache& cache,
+                                                            const agent::Fleet& fleet) {
+  std::vector<std::vector<core::Resources>> used(cache.partitions(),
+                                                 std::vector<core::Resources>(settings.teams.size()));
+  cache.each_run([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
+    const auto* job = run.assignments.empty() ? nullptr : job_of_known_team(settings, cache, id);
+    if (!job) return;
+    used[partition.index][job->spec.team.index] +=
+        job->spec.need * static_cast<double>(run.assignments.size());
+  });
+  for (const auto& exit : fleet.observed_exits) {
+    if (reported_twice(fleet, exit)) continue;
+    const auto* job = job_of_known_team(settings, cache, exit.job);
+    if (job && cache.has_assignment(exit.job, exit.partition, exit.task, exit.attempt))
+      used[exit.partition.index][job->spec.team.index] -= job->spec.need;
+  }
+  return used;
+}
+
+ledger::QuotaShares quota_shares(const config::Settings& settings, const state::StateCache& cache,
+                                 core::TeamId team) {
+  const auto& limits = settings.teams.at(team.index);
+  ledger::QuotaShares shares({limits.cpus_max, limits.gpus_max, 0}, cache.partitions());
+  const auto& record = cache.team(team);
+  for (std::uint32_t p = 0; p < record.partitions.size(); ++p) {
+    const auto& [share, requested] = record.partitions[p];
+    shares.restore(core::PartitionId{p}, share, requested);
+  }
+  return shares;
+}
+
+std::set<core::JobId> within_guarantee(const config::Settings& settings, const state::StateCache& cache) {
+  std::vector<core::Resources> asked(settings.teams.size());  // by team, by its jobs so far
+  std::set<core::JobId> within;
+  for (const auto id : oldest_first(cache)) {
+    const auto* job = job_of_known_team(settings, cache, id);
+    if (!job) continue;
+    const auto team = job->spec.team.index;
+    asked[team] += job->spec.need * static_cast<double>(unfinished_tasks(cache, id));
+    if (fits_guarantee(settings.teams[team], job->spec.need, asked[team])) within.insert(id);
+  }
+  return within;
+}
+
+}  // namespace finchrun::controller
--- a/src/ledger/quota_shares.hpp
+++ b/src/ledger/quota_shares.hpp
@@ -1,9 +1,6 @@
-// A team's limit, dealt out to the partitions: what a partition's owner may book for the team without asking
-// anybody. The shares never add up to more than the limit. A part that needs more wishes for it; a partition
-// that has some to spare gives it. Until anything was given, every partition has an equal share.
+// A team's limit, divided into shares of the partitions.
 #pragma once
 
-#include <algorithm>
 #include <vector>
 
 #include "core/ids.hpp"
@@ -11,57 +8,40 @@
 
 namespace finchrun::ledger {
 
-// Of one team. Only processors and accelerators count; a limit of 0 means none.
+/// The shares of one team: what each partition's leader may book for the team without asking anybody (rule
+/// `quota`). They always add up to the limit. A partition that needs more requests it; one that has some to
+/// spare grants it. Until anything was granted, every partition has an equal share; controllers of all
+/// versions must start from that.
+///
+/// Only processors and accelerators count; a limit of 0 means none.
 class QuotaShares {
  public:
+  /// Requests and grants of less are not worth a change of the record.
+  static constexpr double kLeastAmount = 1e-3;
+
   QuotaShares() = default;
-  QuotaShares(core::Resources limit, std::size_t partitions)
-      : limit_(limit),
-        share_(partitions, limit * (1.0 / static_cast<double>(std::max<std::size_t>(1, partitions)))),
-        requested_(partitions) {}
+  QuotaShares(core::Resources limit, std::size_t partitions);
 
   [[nodiscard]] const core::Resources& limit() const { return limit_; }
-  [[nodiscard]] const core::Resources& share(core::PartitionId p) const { return share_.at(p.index); }
-  [[nodiscard]] const core::Resources& requested(core::PartitionId p) const { return requested_.at(p.index); }
-  void set(core::PartitionId p, core::Resources share, core::Resources requested) {
-    share_.at(p.index) = share;
-    requested_.at(p.index) = requested;
-  }
-  // Asks for so much more; never for more than the limit leaves to the other partitions.
-  void ask(core::PartitionId p, core::Resources more) {
-    more.cpus = std::clamp(more.cpus, 0.0, std::max(0.0, limit_.cpus - share_[p.index].cpus));
-    more.gpus = std::clamp(more.gpus, 0.0, std::max(0.0, limit_.gpus - share_[p.index].gpus));
-    requested_.at(p.index) = {more.cpus, more.gpus, 0};
-  }
-  // Moves what `from` has beyond `used` to the partitions that wish for it. True if anything moved.
-  bool give(core::PartitionId from, const core::Resources& used) {
-    bool moved = false;
-    for (std::size_t to = 0; to < share_.size(); ++to) {
-      if (to == from.index) continue;
-      moved |= hand(share_[from.index].cpus, used.cpus, share_[to].cpus, requested_[to].cpus);
-      moved |= hand(share_[from.index].gpus, used.gpus, share_[to].gpus, requested_[to].gpus);
-    }
-    return moved;
+  [[nodiscard]] const core::Resources& share(core::PartitionId partition) const {
+    return share_.at(partition.index);
   }
-  // Moves exactly so much, wished for or not.
-  void move(core::PartitionId from, core::PartitionId to, const core::Resources& amount) {
-    if (limit_.cpus > 0) share_[from.index].cpus -= amount.cpus, share_[to.index].cpus += amount.cpus;
-    if (limit_.gpus > 0) share_[from.index].gpus -= amount.gpus, share_[to.index].gpus += amount.gpus;
+  /// What the partition would like to have beyond its share.
+  [[nodiscard]] const core::Resources& requested(core::PartitionId partition) const {
+    return requested_.at(partition.index);
   }
+  /// Takes over what the team's record says of the partition.
+  void restore(core::PartitionId partition, core::Resources share, core::Resources requested);
+  /// Requests so much more, in place of what was requested before; never more than the limit leaves to the
+  /// other partitions.
+  void request(core::PartitionId partition, core::Resources more);
+  /// Moves what `from` has beyond `used` to the partitions that request it, in their order. True if anything
+  /// moved. Only for the leader of `from`, who alone knows what is used there.
+  bool grant_surplus(core::PartitionId from, const core::Resources& used);
 
  private:
-  static bool hand(double& from, double used, double& to, double& requested) {
-    constexpr double kWorthIt = 1e-3;
-    const double amount = std::min(requested, from - used);
-    if (amount < kWorthIt) return false;
-    from -= amount;
-    to += amount;
-    requested -= amount;
-    return true;
-  }
-
   core::Resources limit_;
-  std::vector<core::Resources> share_, requested_;
+  std::vector<core::Resources> share_, requested_;  // by partition
 };
 
 }  // namespace finchrun::ledger
--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -15,7 +15,7 @@
 using state::CommitStatus;
 
 constexpr std::size_t kMaxArrayTasksRequested = 16;  // as many as could start at once, not all that wait
-constexpr double kLeastAmount = 1e-3;       // processors or accelerators worth a change of the record
+constexpr double kLeastAmount = QuotaShares::kLeastAmount;
 constexpr double kRequestGrowth = 1.25;     // a request is raised only by more than this factor
 constexpr double kWithdrawalIntervalS = 2;  // at least between two withdrawals of this controller
 
@@ -54,13 +54,13 @@
   more.gpus = std::min(more.gpus, shares.limit().gpus - shortage.team_used.gpus);
   if (notable(more)) {
     if (!exceeds(more, before, kRequestGrowth)) return RequestChange::none;
-    shares.ask(shortage.partition, more);
+    shares.request(shortage.partition, more);
     // The limit may leave less to ask for.
     const bool raised = exceeds(shares.requested(shortage.partition), before, 1);
     return raised ? RequestChange::raised : RequestChange::none;
   }
   if (!notable(before) || !may_withdraw) return RequestChange::none;
-  shares.ask(shortage.partition, {});
+  shares.request(shortage.partition, {});
   return RequestChange::withdrawn;
 }
 
@@ -92,7 +92,7 @@
     if (request == RequestChange::withdrawn) request_withdrawn_at = now;
     changed |= request != RequestChange::none;
     const auto& name = state.names.partitions.name(partition);
-    if (shares.give(partition, shortage.used)) {
+    if (shares.grant_surplus(partition, shortage.used)) {
       changed = true;
       transaction.log.push_back(fmt::format("quota granted team={} from={}", team_name, name));
     }
--- a/tests/controller/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -20,82 +20,84 @@
   return s;
 }
 
-struct ListedMachine {
+struct MemberCase {
   const char* name;
   std::vector<const char*> members;  // their records
   bool known;
 };
-class StandingJobs : public testing::TestWithParam<ListedMachine> {};
+class AllMembersKnow : public testing::TestWithParam<MemberCase> {};
 // A controller of the version in production says nothing of what it can read.
-TEST_P(StandingJobs, NeedEveryListedMemberToKnowThem) {
-  ControllerState w(settings(), {});
+TEST_P(AllMembersKnow, OnlyIfEveryListedMemberSaysSo) {
+  ControllerState state(settings(), {});
   std::uint64_t revision = 0;
   for (const auto* record : GetParam().members) {
     ++revision;
-    w.cache.apply({"members/perch-" + std::to_string(revision), boost::json::parse(record), revision});
+    state.cache.apply({"members/perch-" + std::to_string(revision), boost::json::parse(record), revision});
   }
-  EXPECT_EQ(w.all_members_know(state::kStandingJobs), GetParam().known);
+  EXPECT_EQ(state.all_members_know(state::kStandingJobs), GetParam().known);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Table, StandingJobs,
-    testing::Values(ListedMachine{"nobody_listed", {}, false},
-                    ListedMachine{"all_new", {R"({"inc":1,"level":1})", R"({"inc":2,"level":2})"}, true},
-                    ListedMachine{"one_of_production", {R"({"inc":1,"level":1})", R"({"inc":2})"}, false}),
+    Table, AllMembersKnow,
+    testing::Values(MemberCase{"nobody_listed", {}, false},
+                    MemberCase{"all_new", {R"({"inc":1,"level":1})", R"({"inc":2,"level":2})"}, true},
+                    MemberCase{"one_of_production", {R"({"inc":1,"level":1})", R"({"inc":2})"}, false}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(ControllerState, NewOwnerDoesNotHoldOldSilenceAgainstMachines) {
-  ControllerState w(settings(), {});
-  auto& m = w.fleet.intern(w.names, "host-1");
+TEST(ControllerState, SilenceTowardsAnEarlierLeaderDoesNotCount) {
+  ControllerState state(settings(), {});
+  auto& m = state.fleet.intern(state.names, "host-1");
   m.partition = core::PartitionId{0};
   m.first_seen = core::TimePoint(core::secs(10));
-  w.leading_since[0] = core::TimePoint(core::secs(200));
-  EXPECT_DOUBLE_EQ(w.silent_s(m, core::TimePoint(core::secs(203))), 3);
+  state.leading_since[0] = core::TimePoint(core::secs(200));
+  EXPECT_DOUBLE_EQ(state.silent_s(m, core::TimePoint(core::secs(203))), 3);
   m.last_heartbeat = core::TimePoint(core::secs(202));
-  EXPECT_DOUBLE_EQ(w.silent_s(m, core::TimePoint(core::secs(203))), 1);
+  EXPECT_DOUBLE_EQ(state.silent_s(m, core::TimePoint(core::secs(203))), 1);
 }
 
-// An agent answered last keeps its tasks for a lease: 16.9 s without news of cancellations and then the lease
-// of 10 s stay below cancel_s of 30 s. News is the newest read of the store, or what all other controllers
-// have told.
-struct News {
+// An agent answered last keeps its tasks for a lease: 16.9 s in which cancellations may be unknown and then
+// the lease of 10 s stay below cancel_s of 30 s. They are known by the newest read of the store, or from the
+// answers of all other controllers.
+struct RenewalCase {
   const char* name;
-  double synced_s, told_s[2], now_s;
-  bool fresh;
+  double synchronized_s, confirmed_s[2], now_s;
+  bool may_renew;
 };
-class NewsFresh : public testing::TestWithParam<News> {};
-TEST_P(NewsFresh, AnswersWorkersOnlyWhileCancellationsCanStillHold) {
+class LeaseRenewal : public testing::TestWithParam<RenewalCase> {};
+TEST_P(LeaseRenewal, EndsBeforeAnUnknownCancellationCouldBeOverdue) {
   auto s = settings();
   s.members = {{"perch-1", "a", {}}, {"perch-2", "a", {}}};
-  ControllerState w(s, {});
+  ControllerState state(s, {});
   const auto& c = GetParam();
-  w.synchronized_at = core::TimePoint(core::secs(c.synced_s));
+  state.synchronized_at = core::TimePoint(core::secs(c.synchronized_s));
   for (std::size_t m = 0; m < 2; ++m)
-    w.cancellations_confirmed_at[m] = core::TimePoint(core::secs(c.told_s[m]));
-  EXPECT_EQ(w.may_renew_leases(core::TimePoint(core::secs(c.now_s))), c.fresh);
-  w.settings.nodes = 4;  // one more than the settings name: only the store tells what it has confirmed
-  EXPECT_EQ(w.may_renew_leases(core::TimePoint(core::secs(c.now_s))), c.fresh && c.now_s < c.synced_s + 16.9);
+    state.cancellations_confirmed_at[m] = core::TimePoint(core::secs(c.confirmed_s[m]));
+  EXPECT_EQ(state.may_renew_leases(core::TimePoint(core::secs(c.now_s))), c.may_renew);
+  state.settings.nodes = 4;  // one more than the settings name: only the store shows what it has confirmed
+  EXPECT_EQ(state.may_renew_leases(core::TimePoint(core::secs(c.now_s))),
+            c.may_renew && c.now_s < c.synchronized_s + 16.9);
 }
-INSTANTIATE_TEST_SUITE_P(Table, NewsFresh,
-                         testing::Values(News{"store_alone", 100, {0, 0}, 116.8, true},
-                                         News{"store_alone_too_old", 100, {0, 0}, 117, false},
-                                         News{"all_have_told", 100, {180, 190}, 196.8, true},
-                                         News{"all_have_told_too_long_ago", 100, {180, 190}, 197, false},
-                                         News{"one_has_not_told", 100, {0, 190}, 191, false},
-                                         News{
-                                             "one_told_before_the_newest_read", 100, {50, 190}, 116.8, true}),
-                         [](const auto& info) { return std::string(info.param.name); });
-
-TEST(ControllerState, ActsOnlyOnceItHasReadWhatEarlierOwnersRecorded) {
-  ControllerState w(settings(), {});
-  w.loaded = true;
-  w.incarnation = 7;
-  w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
-  EXPECT_TRUE(w.holds_leadership(core::PartitionId{0}));
-  EXPECT_FALSE(w.leads(core::PartitionId{0}));
-  w.cache.synchronized(40);
-  EXPECT_TRUE(w.leads(core::PartitionId{0}));
-  w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":8})"), 41});
-  EXPECT_FALSE(w.holds_leadership(core::PartitionId{0})) << "a claim of another process of the same label";
+INSTANTIATE_TEST_SUITE_P(
+    Table, LeaseRenewal,
+    testing::Values(RenewalCase{"store_alone", 100, {0, 0}, 116.8, true},
+                    RenewalCase{"store_alone_too_old", 100, {0, 0}, 117, false},
+                    RenewalCase{"all_have_answered", 100, {180, 190}, 196.8, true},
+                    RenewalCase{"all_have_answered_too_long_ago", 100, {180, 190}, 197, false},
+                    RenewalCase{"one_has_not_answered", 100, {0, 190}, 191, false},
+                    RenewalCase{"one_answered_before_the_newest_read", 100, {50, 190}, 116.8, true}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+TEST(ControllerState, LeadsOnlyOnceItHasReadWhatEarlierLeadersRecorded) {
+  ControllerState state(settings(), {});
+  state.loaded = true;
+  state.incarnation = 7;
+  state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
+  EXPECT_TRUE(state.holds_leadership(core::PartitionId{0}));
+  EXPECT_FALSE(state.leads(core::PartitionId{0}));
+  state.cache.synchronized(40);
+  EXPECT_TRUE(state.leads(core::PartitionId{0}));
+  state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":8})"), 41});
+  EXPECT_FALSE(state.holds_leadership(core::PartitionId{0}))
+      << "a leadership record of another process of the same label";
 }
 
 struct UsableCase {
@@ -104,46 +106,94 @@
   bool usable;
 };
 class Usable : public testing::TestWithParam<UsableCase> {};
-TEST_P(Usable, OnlyWhileItsWorkerIsSeenToObey) {
-  ControllerState w(settings(), {});
-  w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
+TEST_P(Usable, OnlyWhileItsAgentIsSeenToObey) {
+  ControllerState state(settings(), {});
+  state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
   const core::TimePoint now(core::secs(100));
-  auto& m = w.fleet.intern(w.names, "host-1");
+  auto& m = state.fleet.intern(state.names, "host-1");
   m.partition = core::PartitionId{0};
   m.has_heartbeat = true;
   m.fencing_token = 40;
   m.last_heartbeat = now;
   GetParam().change(m);
-  EXPECT_EQ(w.usable(m, now), GetParam().usable);
+  EXPECT_EQ(state.usable(m, now), GetParam().usable);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, Usable,
     testing::Values(UsableCase{"obeys", [](auto&) {}, true},
                     UsableCase{"under_an_older_token", [](auto& m) { m.fencing_token = 39; }, false},
-                    UsableCase{"orders_may_not_reach_it",
+                    UsableCase{"commands_may_not_reach_it",
                                [](auto& m) { m.mark_unreachable(core::TimePoint(core::secs(99))); }, false},
                     UsableCase{"was_deleted", [](auto& m) { m.gone = true; }, false},
                     UsableCase{"silent", [](auto& m) { m.last_heartbeat = {}; }, false},
-                    UsableCase{"about_to_be_taken", [](auto& m) { m.termination_notice_s = 10; }, false}),
+                    UsableCase{"termination_notice", [](auto& m) { m.termination_notice_s = 10; }, false}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(ControllerState, NewOwnerUsesWhatHasAnsweredItUntilItIsMissed) {
-  ControllerState w(settings(), {});
-  w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
-  w.leading_since[0] = core::TimePoint(core::secs(100));
-  auto& m = w.fleet.intern(w.names, "host-1");
+TEST(ControllerState, NewLeaderUsesMachinesThatAnsweredItUntilTheyAreMissed) {
+  ControllerState state(settings(), {});
+  state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
+  state.leading_since[0] = core::TimePoint(core::secs(100));
+  auto& m = state.fleet.intern(state.names, "host-1");
   m.partition = core::PartitionId{0};
   m.has_heartbeat = true;
   m.fencing_token = 40;
-  EXPECT_TRUE(w.usable(m, core::TimePoint(core::secs(108))));
-  EXPECT_FALSE(w.usable(m, core::TimePoint(core::secs(109)))) << "its worker has not come by itself";
+  EXPECT_TRUE(state.usable(m, core::TimePoint(core::secs(108))));
+  EXPECT_FALSE(state.usable(m, core::TimePoint(core::secs(109))))
+      << "its agent has sent no heartbeat by itself";
 }
 
 TEST(ControllerState, DeletedMachinesStayDeleted) {
-  ControllerState w(settings(), {});
-  w.fleet.deleted.insert(w.fleet.intern(w.names, "host-1").id);
-  EXPECT_TRUE(w.fleet.was_deleted(w.names, "host-1"));
-  EXPECT_FALSE(w.fleet.was_deleted(w.names, "host-2"));
+  ControllerState state(settings(), {});
+  state.fleet.deleted.insert(state.fleet.intern(state.names, "host-1").id);
+  EXPECT_TRUE(state.fleet.was_deleted(state.names, "host-1"));
+  EXPECT_FALSE(state.fleet.was_deleted(state.names, "host-2"));
+}
+
+struct DeadlineCase {
+  const char* name;
+  std::vector<config::Objective> objectives;
+  std::optional<double> deadline_s;  // since submission; the task is expected to run for 100 s
+  bool deferrable;
+};
+class Deferrable : public testing::TestWithParam<DeadlineCase> {};
+// With an image of 10 GB and a heartbeat every 3 s: 150 s to run, 20 s to fetch, 12 s to start.
+TEST_P(Deferrable, WhileOnlyADeadlineCountsAndThatIsFar) {
+  auto s = settings();
+  s.report_s = 3;
+  s.objectives = GetParam().objectives;
+  ControllerState state(s, {});
+  jobs::JobSpec spec;
+  spec.job_class = state.names.job_classes.intern("batch");
+  spec.expected_run_s = 100;
+  spec.image_gb = 10;
+  spec.submitted_s = 1000;
+  spec.deadline_s = GetParam().deadline_s;
+  EXPECT_EQ(state.deferrable(spec, 1000), GetParam().deferrable);
+}
+const config::Objective kDeadlines{"deadline", "batch", 0, 0.9}, kWaits{"wait", "batch", 30, 0.9},
+    kWaitsOfOthers{"wait", "interactive", 30, 0.9};
+INSTANTIATE_TEST_SUITE_P(
+    Table, Deferrable,
+    testing::Values(DeadlineCase{"far", {kDeadlines}, 183, true},
+                    DeadlineCase{"near", {kDeadlines}, 182, false},
+                    DeadlineCase{"no_deadline", {kDeadlines}, {}, false},
+                    DeadlineCase{"nothing_asked_of_the_class", {kWaitsOfOthers}, 183, false},
+                    DeadlineCase{"other_classes_do_not_count", {kWaitsOfOthers, kDeadlines}, 183, true},
+                    DeadlineCase{"short_waits_asked_too", {kDeadlines, kWaits}, 183, false}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+TEST(ControllerState, JobClassesFadeWhenTheirJobsAreOver) {
+  SinglePartition p;
+  const auto id = p.job("req", 50, jobs::Shape::array);
+  p.w.observe_job_classes();
+  ASSERT_EQ(p.w.job_classes.size(), 1u);
+  EXPECT_DOUBLE_EQ(p.w.job_classes[0].tasks, 50);
+  auto record = *p.w.cache.job(id);
+  record.status = jobs::Status::cancelled;
+  record.ranges.clear();
+  p.w.cache.apply({"jobs/req", jobs::to_json(record, p.w.names), ++p.revision});
+  p.w.observe_job_classes();
+  EXPECT_DOUBLE_EQ(p.w.job_classes[0].tasks, 49);
 }
 
 }  // namespace
--- a/tests/ledger/quota_shares_test.cpp
+++ b/tests/ledger/quota_shares_test.cpp
@@ -19,27 +19,27 @@
   double used[3];    // by partition
   double share[3];
 };
-class Give : public testing::TestWithParam<Case> {};
-TEST_P(Give, MovesOnlyWhatIsSpareAndWished) {
+class GrantSurplus : public testing::TestWithParam<Case> {};
+TEST_P(GrantSurplus, MovesOnlyWhatIsSpareAndRequested) {
   const auto& c = GetParam();
   QuotaShares a({0, 30, 0}, 3);
-  a.ask(PartitionId{0}, {0, c.requested, 0});
-  for (std::uint32_t p = 1; p < 3; ++p) a.give(PartitionId{p}, {0, c.used[p], 0});
+  a.request(PartitionId{0}, {0, c.requested, 0});
+  for (std::uint32_t p = 1; p < 3; ++p) a.grant_surplus(PartitionId{p}, {0, c.used[p], 0});
   for (std::uint32_t p = 0; p < 3; ++p) EXPECT_DOUBLE_EQ(a.share(PartitionId{p}).gpus, c.share[p]) << p;
   EXPECT_DOUBLE_EQ(total(a, 3), 30);
 }
-INSTANTIATE_TEST_SUITE_P(Table, Give,
-                         testing::Values(Case{"no_wish", 0, {0, 0, 0}, {10, 10, 10}},
-                                         Case{"one_gives_all", 4, {0, 2, 0}, {14, 6, 10}},
-                                         Case{"both_give", 16, {0, 2, 0}, {26, 2, 2}},
+INSTANTIATE_TEST_SUITE_P(Table, GrantSurplus,
+                         testing::Values(Case{"no_request", 0, {0, 0, 0}, {10, 10, 10}},
+                                         Case{"one_grants_all", 4, {0, 2, 0}, {14, 6, 10}},
+                                         Case{"both_grant", 16, {0, 2, 0}, {26, 2, 2}},
                                          Case{"what_is_used_stays", 20, {0, 9, 10}, {11, 9, 10}},
                                          Case{"never_more_than_the_limit", 99, {0, 0, 0}, {30, 0, 0}}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(QuotaShares, NoLimitIsNotDealtOut) {
+TEST(QuotaShares, WithoutALimitNothingIsShared) {
   QuotaShares a({0, 0, 0}, 2);
-  a.ask(PartitionId{0}, {8, 1, 0});
-  EXPECT_FALSE(a.give(PartitionId{1}, {}));
+  a.request(PartitionId{0}, {8, 1, 0});
+  EXPECT_FALSE(a.grant_surplus(PartitionId{1}, {}));
 }
 
 }  // namespace
