--- a/src/controller/runtime.hpp
+++ b/src/controller/runtime.hpp
@@ -19,14 +19,15 @@
   Runtime(asio::io_context& io, std::uint32_t seed) : io_(io), random_(seed) {}
 
   [[nodiscard]] asio::io_context& io() { return io_; }
-  /// About `seconds`, 20% more or less, so that controllers don't act in step.
+  /// Between 80% and 120% of `seconds`, evenly distributed, so that controllers don't act in step. Draws once
+  /// from the seeded generator: simulations repeat only while the order of draws stays.
   [[nodiscard]] core::Steady::duration jitter(double seconds);
-  /// Waits for `jitter(seconds)`.
+  /// Waits for `jitter(seconds)`, drawn when the wait begins.
   asio::awaitable<void> sleep(double seconds);
-  /// Starts a loop that lasts as long as the process: one that throws is a bug, and ends the process rather
-  /// than leaving it half alive.
+  /// Starts a loop that lasts as long as the process: one that throws is a bug, and ends the process with
+  /// status 3 rather than leaving it half alive. No destructors run.
   void run_forever(asio::awaitable<void> loop);
-  /// Starts a task that ends by itself. An exception that leaves it is logged.
+  /// Starts a task that ends by itself. An exception that leaves it is logged, and ends it alone.
   void spawn(asio::awaitable<void> task);
 
  private:
@@ -34,13 +35,14 @@
   std::mt19937 random_;
 };
 
-/// Wakes the one coroutine that waits for it. A wake-up while nobody waits is lost.
+/// Wakes the one coroutine that waits for it. A notification while nobody waits is lost.
 class Wakeup {
  public:
   explicit Wakeup(asio::io_context& io) : timer_(io) {}
   /// Ends the wait that is under way, if any.
   void notify() { timer_.cancel(); }
-  /// Waits until notified, `seconds` at most.
+  /// Waits until notified, `seconds` at most, without jitter. Does not say which of the two ended the wait.
+  /// For one coroutine at a time: a second one would end the wait of the first.
   asio::awaitable<void> wait(double seconds);
 
  private:
--- a/src/scheduling/cluster_load.cpp
+++ b/src/scheduling/cluster_load.cpp
@@ -6,65 +6,84 @@
 
 namespace {
 
+using controller::ClusterLoad;
 using controller::ControllerState;
 
-// A machine of which nothing is certain yet, or that is certain to be useless.
-bool worth_counting(const ControllerState& w, const agent::Machine& m, core::TimePoint now) {
-  if (m.quarantined || m.gone || m.terminating || m.termination_notice_s || !m.partition.valid())
+constexpr double kMaxLoadAgeS = 0.5;  // every submission asks; nothing much changes in between
+
+// Leaves out machines that are certain to be useless, and of which nothing is certain yet.
+bool counts_as_capacity(const ControllerState& state, const agent::Machine& machine, core::TimePoint now) {
+  if (machine.quarantined || machine.gone || machine.terminating || machine.termination_notice_s)
     return false;
-  if (w.leads(m.partition)) return w.usable(m, now);
-  return m.listed && m.status == "running";
+  if (!machine.partition.valid()) return false;
+  if (state.leads(machine.partition)) return state.usable(machine, now);
+  // Its agent's heartbeats go to another leader: only the cloud's list tells of it.
+  return machine.listed && machine.status == "running";
 }
 
-const controller::ClusterLoad& current_load(ControllerState& w, core::TimePoint now) {
-  constexpr double kFresh = 0.5;  // every submission asks; nothing much changes in between
-  auto& load = w.load;
-  if (load.at != core::TimePoint{} && core::since(load.at, now) < kFresh) return load;
-  load = {};
-  load.at = now;
-  load.waiting.resize(w.partitions.size());
-  load.images.resize(w.partitions.size());
-  for (const auto id : w.cache.live()) {
-    const WaitingTasks tasks(w.cache, id);
+void add_waiting_tasks(ClusterLoad& load, const ControllerState& state) {
+  for (const auto id : state.cache.live()) {
+    const WaitingTasks tasks(state.cache, id);
     if (!tasks.any()) continue;
-    const auto& job = *w.cache.job(id);
+    const auto& need = state.cache.job(id)->spec.need;
     for (std::uint32_t p = 0; p < load.waiting.size(); ++p)
-      load.waiting[p] += job.spec.need * static_cast<double>(tasks.count(core::PartitionId{p}));
+      load.waiting[p] += need * static_cast<double>(tasks.count(core::PartitionId{p}));
   }
-  for (const auto& [id, m] : w.fleet.all()) {
-    if (!worth_counting(w, m, now)) continue;
-    const auto* machine_type = w.fleet.machine_type(m.type);
+}
+
+void add_machines(ClusterLoad& load, const ControllerState& state, core::TimePoint now) {
+  for (const auto& [id, machine] : state.fleet.all()) {
+    if (!counts_as_capacity(state, machine, now)) continue;
+    const auto* machine_type = state.fleet.machine_type(machine.type);
     if (!machine_type) continue;
     auto free = machine_type->size;
-    free -= w.used_on(id);
-    load.machines.push_back({m.partition, m.type, m.spot, machine_type->size, free});
-    for (const auto& [image, _] : m.images) load.images[m.partition.index].insert(image);
+    free -= state.used_on(id);
+    load.machines.push_back({machine.partition, machine.type, machine.spot, machine_type->size, free});
+    for (const auto& [image, _] : machine.images) load.images[machine.partition.index].insert(image);
   }
+}
+
+const ClusterLoad& current_load(ControllerState& state, core::TimePoint now) {
+  auto& load = state.load;
+  if (load.at != core::TimePoint{} && core::since(load.at, now) < kMaxLoadAgeS) return load;
+  load = {};
+  load.at = now;
+  load.waiting.resize(state.partitions.size());
+  load.images.resize(state.partitions.size());
+  add_waiting_tasks(load, state);
+  add_machines(load, state, now);
   return load;
 }
 
+// How many tasks of such need the waiting ones would take the place of.
+double tasks_in_place_of(const core::Resources& waiting, const core::Resources& need) {
+  double tasks = 0;
+  if (need.gpus > 0) tasks = std::max(tasks, waiting.gpus / need.gpus);
+  if (need.cpus > 0) tasks = std::max(tasks, waiting.cpus / need.cpus);
+  return tasks;
+}
+
 }  // namespace
 
-std::vector<sched::PartitionCapacity> partition_capacities(ControllerState& w, const jobs::JobSpec& spec,
+std::vector<sched::PartitionCapacity> partition_capacities(ControllerState& state, const jobs::JobSpec& spec,
                                                            core::TimePoint now) {
-  const auto& load = current_load(w, now);
-  std::vector<sched::PartitionCapacity> rooms(w.partitions.size());
-  for (std::uint32_t p = 0; p < rooms.size(); ++p) {
-    rooms[p].partition = core::PartitionId{p};
-    rooms[p].zone = w.partitions.zone(core::PartitionId{p});
-    rooms[p].allowed = !spec.zone || *spec.zone == rooms[p].zone;
-    const auto& waiting = load.waiting[p];
-    if (spec.need.gpus > 0) rooms[p].backlog = std::max(rooms[p].backlog, waiting.gpus / spec.need.gpus);
-    if (spec.need.cpus > 0) rooms[p].backlog = std::max(rooms[p].backlog, waiting.cpus / spec.need.cpus);
-    rooms[p].has_image = load.images[p].contains(spec.image);
+  const auto& load = current_load(state, now);
+  std::vector<sched::PartitionCapacity> capacities(state.partitions.size());
+  for (std::uint32_t p = 0; p < capacities.size(); ++p) {
+    auto& capacity = capacities[p];
+    capacity.partition = core::PartitionId{p};
+    capacity.zone = state.partitions.zone(capacity.partition);
+    capacity.allowed = !spec.zone || *spec.zone == capacity.zone;
+    capacity.backlog = tasks_in_place_of(load.waiting[p], spec.need);
+    capacity.has_image = load.images[p].contains(spec.image);
   }
-  for (const auto& m : load.machines) {
-    if (!spec.allows_type(m.type) || (m.spot && !spec.spot)) continue;
-    auto& room = rooms[m.partition.index];
-    room.free += spec.need.times_in(m.free);
-    room.capacity += spec.need.times_in(m.size);
+  for (const auto& machine : load.machines) {
+    if (!spec.allows_type(machine.type) || (machine.spot && !spec.spot)) continue;
+    auto& capacity = capacities[machine.partition.index];
+    capacity.free += spec.need.times_in(machine.free);
+    capacity.capacity += spec.need.times_in(machine.size);
   }
-  return rooms;
+  return capacities;
 }
 
 }  // namespace finchrun::scheduling
--- a/src/scheduling/cluster_load.hpp
+++ b/src/scheduling/cluster_load.hpp
@@ -1,4 +1,4 @@
-// What waits and what is free in each partition, for distributing jobs.
+// What waits and what is free in each partition, for distributing and rebalancing jobs.
 #pragma once
 
 #include <vector>
@@ -8,8 +8,10 @@
 
 namespace finchrun::scheduling {
 
-/// What each partition offers to a job of this kind.
-std::vector<sched::PartitionCapacity> partition_capacities(controller::ControllerState& w,
+/// What each partition offers to a job of this kind, in order of partition. An estimate, of partitions of
+/// other leaders above all: nothing is placed by it. Half a second old at most: it rests on `state.load`,
+/// which is renewed here.
+std::vector<sched::PartitionCapacity> partition_capacities(controller::ControllerState& state,
                                                            const jobs::JobSpec& spec, core::TimePoint now);
 
 }  // namespace finchrun::scheduling
--- a/src/scheduling/usage_recorder.cpp
+++ b/src/scheduling/usage_recorder.cpp
@@ -9,15 +9,15 @@
 namespace json = boost::json;
 using controller::ControllerState;
 
-// Newest windows first; the oldest, which count least, are left out if all of them are too long for one
-// value.
-json::value usage_record(const ledger::UsageWindows& usage, std::size_t max_bytes) {
-  constexpr std::size_t kFrame = 48;
-  std::size_t bytes = kFrame;
+// The stored form. Newest windows first; those are left out that would make the value too long.
+json::value to_record(const ledger::UsageWindows& usage, std::size_t max_bytes) {
+  constexpr std::size_t kBytesAroundWindows = 48;
+  std::size_t bytes = kBytesAroundWindows;
   json::array windows;
   for (const auto& window : usage.windows()) {
     json::array values;
-    for (const double v : window) values.push_back(static_cast<std::int64_t>(std::llround(v)));
+    for (const double core_seconds : window)
+      values.push_back(static_cast<std::int64_t>(std::llround(core_seconds)));
     bytes += json::serialize(values).size() + 1;
     if (bytes > max_bytes) break;
     windows.push_back(std::move(values));
@@ -27,23 +27,27 @@
 
 }  // namespace
 
+std::vector<state::Transaction> plan_usage_records(const ControllerState& state) {
+  std::vector<state::Transaction> transactions;
+  for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
+    const core::PartitionId partition{p};
+    const auto fencing_token = state.fencing_token(partition);
+    if (!state.leads(partition) || state.usage_from[p] != fencing_token) continue;
+    const auto& name = state.names.partitions.name(partition);
+    state::Transaction transaction;
+    transaction.compares.push_back({state::keys::partition(name), fencing_token});
+    transaction.writes.push_back(
+        {state::keys::usage(name), to_record(state.usage[p], state.settings.state_limits.value_bytes())});
+    transactions.push_back(std::move(transaction));
+  }
+  return transactions;
+}
+
 asio::awaitable<void> UsageRecorder::record() {
-  std::vector<state::Transaction> txns;
-  state_.with([&](ControllerState& w) {
-    for (std::uint32_t p = 0; p < w.partitions.size(); ++p) {
-      const core::PartitionId partition{p};
-      if (!w.leads(partition) || w.usage_from[p] != w.fencing_token(partition)) continue;
-      const auto& name = w.names.partitions.name(partition);
-      state::Transaction txn;
-      txn.compares.push_back({state::keys::partition(name), w.fencing_token(partition)});
-      txn.writes.push_back(
-          {state::keys::usage(name), usage_record(w.usage[p], w.settings.state_limits.value_bytes())});
-      txns.push_back(std::move(txn));
-    }
-  });
-  for (auto& txn : txns) {
+  auto transactions = state_.with([](ControllerState& state) { return plan_usage_records(state); });
+  for (auto& transaction : transactions) {
     if (!store_.spend(1, state::KeyValueStore::For::records)) co_return;
-    co_await follower_.commit(std::move(txn));
+    co_await follower_.commit(std::move(transaction));
   }
 }
 
