--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -2,20 +2,76 @@
 
 #include <spdlog/spdlog.h>
 
-#include <cmath>
+#include <algorithm>
 
-namespace finchrun::autoscaling {
+#include "autoscaling/scale_out_plan.hpp"
 
+namespace finchrun::autoscaling {
 namespace {
 
 using controller::ControllerState;
 
-// A machine that has been starting for much longer than its type usually takes is not waited for any more:
-// the work is rented for elsewhere. If it comes up after all it is used, or given back when idle.
-bool is_boot_overdue(const agent::Machine& m, const cloud::MachineType& machine_type, core::TimePoint now) {
-  constexpr double kBootsWaitedFor = 2;  // usual boots take up to 1.5 times the type's boot time
-  const auto since = m.status == "starting" ? m.starting_since : m.first_seen;
-  return core::since(since, now) > kBootsWaitedFor * machine_type.boot_s;
+constexpr double kMachineTypesEveryS = 120;
+constexpr double kMachineTypesRetryS = 0.5;  // while none are known: nothing can be rented
+constexpr double kMachinesEveryS = 2;        // or less often, as the cloud's limit of requests demands
+constexpr double kScaleOutEveryS = 1;
+constexpr double kTickS = 0.25;
+constexpr double kNoCapacityBackoffS = 15;
+constexpr double kFailedRequestBackoffS = 4;
+
+void apply_listed(ControllerState& state, const cloud::ListedMachine& listed, core::TimePoint now) {
+  if (state.fleet.was_deleted(state.names, listed.name)) return;  // the list lags
+  auto& machine = state.fleet.intern(state.names, listed.name);
+  if (machine.first_seen == core::TimePoint{}) machine.first_seen = now;
+  machine.listed = machine.ever_listed = true;
+  machine.type = state.names.types.intern(listed.type);
+  machine.zone = state.names.zones.intern(listed.zone);
+  machine.partition = state.partitions.partition_of(listed.name, machine.zone).value_or(core::PartitionId{});
+  machine.spot = listed.spot;
+  if (!listed.endpoint.empty()) machine.endpoint = listed.endpoint;
+  if (listed.status == "starting" && machine.status != "starting")
+    machine.starting_since = now - core::secs(listed.held_s);
+  machine.status = listed.status;
+}
+
+/// Machines that are no longer listed, that no record names and that have been silent for long.
+void drop_forgotten_machines(ControllerState& state, core::TimePoint now) {
+  const double kept_s = 4 * state.settings.cloud_list_lag_s + 60;
+  std::erase_if(state.fleet.all(), [&](const auto& item) {
+    const auto& [id, machine] = item;
+    return !machine.listed && state.cache.on_machine(id).empty() &&
+           core::since(machine.first_seen, now) > kept_s && core::since(machine.last_heartbeat, now) > kept_s;
+  });
+}
+
+/// Brings the fleet in line with the machines that records of our partitions name.
+void reconcile_recorded_machines(ControllerState& state, core::TimePoint now) {
+  state.cache.each_named_machine(
+      [&](core::MachineId id, const std::vector<state::MachineAssignment>& assignments) {
+        const auto partition = assignments.front().partition;
+        if (!state.leads(partition)) return;
+        // A placement that was on its way when the machine was returned: what it booked is gone too.
+        if (state.fleet.deleted.contains(id)) return agent::machine_gone(state.cache, state.fleet, id);
+        if (state.fleet.find(id)) return;
+        // Taken while no leader was there to see it: never listed, never heartbeating, yet recorded. Its
+        // deletion has to be asked for too, or its tasks stay booked for good.
+        auto& machine = state.fleet.intern(state.names, state.names.machines.name(id));
+        machine.partition = partition;
+        machine.zone = state.partitions.zone(partition);
+        machine.first_seen = now;
+      });
+}
+
+/// The cloud has answered that the machine is deleted, which proves that nothing runs on it any more (docs/
+/// design.md "When a task is gone").
+void finish_scale_in(ControllerState& state, const ScaleInDecision& decision) {
+  auto* machine = state.fleet.find(decision.machine);
+  if (!machine) return;
+  spdlog::info("scale in machine={} reason={}", decision.name, name_of(decision.reason));
+  agent::machine_gone(state.cache, state.fleet, decision.machine);
+  state.fleet.deleted.insert(decision.machine);
+  machine->gone = true;
+  machine->has_heartbeat = false;
 }
 
 }  // namespace
@@ -26,29 +82,31 @@
     const auto now = core::Steady::now();
     if (now >= next_machine_types) {
       co_await refresh_machine_types();
-      const bool known = state_.with([](ControllerState& w) { return !w.fleet.machine_types.empty(); });
-      next_machine_types = now + runtime_.jitter(known ? 120 : 0.5);
+      const bool known =
+          state_.with([](ControllerState& state) { return !state.fleet.machine_types.empty(); });
+      next_machine_types = now + runtime_.jitter(known ? kMachineTypesEveryS : kMachineTypesRetryS);
     }
     if (now >= next_list) {
-      next_list = now + runtime_.jitter(std::max(2.0, cloud_.list_every_s()));
+      next_list = now + runtime_.jitter(std::max(kMachinesEveryS, cloud_.list_every_s()));
       co_await refresh_machines();
       co_await scale_in();
     }
     if (now >= next_scale_out) {
-      next_scale_out = now + runtime_.jitter(1.0);
+      next_scale_out = now + runtime_.jitter(kScaleOutEveryS);
       co_await scale_out();
     }
-    co_await runtime_.sleep(0.25);
+    co_await runtime_.sleep(kTickS);
   }
 }
 
 asio::awaitable<void> Autoscaler::refresh_machine_types() {
   auto machine_types = co_await cloud_.machine_types();
   if (!machine_types) co_return;
-  state_.with([&](ControllerState& w) {
-    w.fleet.machine_type_ids.clear();
-    for (const auto& f : *machine_types) w.fleet.machine_type_ids.push_back(w.names.types.intern(f.name));
-    w.fleet.machine_types = std::move(*machine_types);
+  state_.with([&](ControllerState& state) {
+    state.fleet.machine_type_ids.clear();
+    for (const auto& type : *machine_types)
+      state.fleet.machine_type_ids.push_back(state.names.types.intern(type.name));
+    state.fleet.machine_types = std::move(*machine_types);
   });
 }
 
@@ -56,284 +114,82 @@
   auto list = co_await cloud_.machines();
   if (!list) co_return;
   const auto now = core::Steady::now();
-  state_.with([&](ControllerState& w) {
-    for (auto& [_, m] : w.fleet.all()) m.listed = false;
-    for (const auto& item : *list) {
-      if (w.fleet.was_deleted(w.names, item.name)) continue;  // the list lags
-      auto& m = w.fleet.intern(w.names, item.name);
-      if (m.first_seen == core::TimePoint{}) m.first_seen = now;
-      m.listed = m.ever_listed = true;
-      m.type = w.names.types.intern(item.type);
-      m.zone = w.names.zones.intern(item.zone);
-      m.partition = w.partitions.partition_of(item.name, m.zone).value_or(core::PartitionId{});
-      m.spot = item.spot;
-      if (!item.endpoint.empty()) m.endpoint = item.endpoint;
-      if (item.status == "starting" && m.status != "starting")
-        m.starting_since = now - core::secs(item.held_s);
-      m.status = item.status;
-    }
-    // Machines that are no longer listed and that no record names are of no interest any more.
-    const double patience = 4 * w.settings.cloud_list_lag_s + 60;
-    std::erase_if(w.fleet.all(), [&](const auto& item) {
-      const auto& m = item.second;
-      return !m.listed && w.cache.on_machine(item.first).empty() &&
-             core::since(m.first_seen, now) > patience && core::since(m.last_heartbeat, now) > patience;
-    });
+  state_.with([&](ControllerState& state) {
+    for (auto& [_, machine] : state.fleet.all()) machine.listed = false;
+    for (const auto& listed : *list) apply_listed(state, listed, now);
+    drop_forgotten_machines(state, now);
   });
 }
 
 asio::awaitable<void> Autoscaler::scale_in() {
-  struct Return {
-    core::MachineId id;
-    std::string name;
-    const char* why;
-  };
-  std::vector<Return> returns;
   const auto now = core::Steady::now();
-  state_.with([&](ControllerState& w) {
-    // A controller that was cut off sees only silent machines, and may have another leader's part in its old
-    // view.
-    if (core::since(w.synchronized_at, now) > 1.5) return;
-    std::vector<int> heard(w.partitions.size()), unheard(w.partitions.size());
-    for (const auto& [id, m] : w.fleet.all()) {
-      if (!m.partition.valid() || m.gone || !m.listed || m.status != "running") continue;
-      (w.silent_s(m, now) > 3 * w.settings.report_s + 2 ? unheard : heard)[m.partition.index]++;
-    }
-    w.cache.each_named_machine([&](core::MachineId id, const std::vector<state::MachineAssignment>& list) {
-      const auto partition = list.front().partition;
-      if (!w.leads(partition)) return;
-      // A placement that was on its way when the machine was returned: what it booked is gone too.
-      if (w.fleet.deleted.contains(id)) return agent::machine_gone(w.cache, w.fleet, id);
-      if (w.fleet.find(id)) return;
-      // Taken while no leader was there to see it: never listed, never reporting, yet recorded. Its deletion
-      // has to be asked for too, or its tasks stay booked for good.
-      auto& m = w.fleet.intern(w.names, w.names.machines.name(id));
-      m.partition = partition;
-      m.zone = w.partitions.zone(partition);
-      m.first_seen = now;
-    });
-    // Hung, it still holds the cancelled task, whose time is up soon after the lease. Nothing else on it is
-    // worth the wait that a zone is given to come back.
-    const auto cancelled = [&](const std::vector<state::MachineAssignment>& placed) {
-      return std::any_of(placed.begin(), placed.end(), [&](const state::MachineAssignment& p) {
-        return w.cache.cancelled_with_tasks().contains(p.job);
-      });
-    };
-    for (auto& [id, m] : w.fleet.all()) {
-      if (returns.size() >= 50) break;
-      if (!m.partition.valid() || !w.leads(m.partition) || m.gone || m.terminating) continue;
-      const auto* machine_type = w.fleet.machine_type(m.type);
-      const double silent = w.silent_s(m, now);
-      const auto& placed = w.cache.on_machine(id);
-      const bool in_use = !placed.empty();
-      const double patience = cancelled(placed)                                       ? 3
-                              : unheard[m.partition.index] > heard[m.partition.index] ? 90
-                                                                                      : 15;
-      const char* why = nullptr;
-      if (m.listed && m.status == "failed") why = "failed";
-      // Silent and not listed: it is gone, and the answer to the deletion makes that certain.
-      else if (in_use && !m.listed && silent > 3 * w.settings.report_s + 2 &&
-               (m.ever_listed || silent > 3 * w.settings.cloud_list_lag_s + 5))
-        why = "unlisted";
-      else if (m.listed && m.status == "running" && silent > w.settings.lease_s + patience)
-        why = "silent";
-      else if (m.listed && m.status == "starting" && machine_type &&
-               core::since(m.starting_since, now) > 5 * machine_type->boot_s + 30)
-        why = "never came up";
-      else if (m.quarantined && !in_use)
-        why = "sick";
-      // Its heartbeats come and nothing of ours arrives: its lease has run out, and again, with us answering.
-      // One whose heartbeats don't come either may be cut off, and is waited for as such.
-      else if (m.unreachable() && silent < w.settings.lease_s &&
-               core::since(*m.unreachable_since, now) > 2 * w.settings.lease_s + 15)
-        why = "deaf";
-      else if (m.has_heartbeat && !in_use && core::since(m.idle_since, now) > w.tuning.idle_return_s)
-        why = "idle";
-      if (!why) continue;
-      m.terminating = true;
-      returns.push_back({id, m.name, why});
-    }
+  const auto decisions = state_.with([&](ControllerState& state) {
+    if (!is_current(state, now)) return std::vector<ScaleInDecision>{};
+    reconcile_recorded_machines(state, now);
+    auto planned = plan_scale_in(state, now);
+    // Nothing is placed on them from here on.
+    for (const auto& decision : planned) state.fleet.find(decision.machine)->terminating = true;
+    return planned;
   });
-  if (returns.empty()) co_return;
+  if (decisions.empty()) co_return;
   std::vector<std::string> names;
-  for (const auto& r : returns) names.push_back(r.name);
+  for (const auto& decision : decisions) names.push_back(decision.name);
   const bool gone = co_await cloud_.release(names);
-  state_.with([&](ControllerState& w) {
-    for (const auto& r : returns) {
-      auto* m = w.fleet.find(r.id);
-      if (!m) continue;
-      if (!gone) {
-        m->terminating = false;  // tried again with the next list
-        continue;
-      }
-      spdlog::info("returned machine={} why={}", r.name, r.why);
-      agent::machine_gone(w.cache, w.fleet, r.id);
-      w.fleet.deleted.insert(r.id);
-      m->gone = true;
-      m->has_heartbeat = false;
+  state_.with([&](ControllerState& state) {
+    for (const auto& decision : decisions) {
+      if (gone)
+        finish_scale_in(state, decision);
+      else if (auto* machine = state.fleet.find(decision.machine))
+        machine->terminating = false;  // tried again with the next list
     }
   });
 }
 
-// The cheapest kind for each job that can't be placed, among those not refused lately; added up by kind.
-std::vector<ScaleOutRequest> Autoscaler::plan_scale_out(ControllerState& w, core::TimePoint now) {
-  std::map<std::string, ScaleOutRequest> requests;
-  const auto used = w.used_by_team();
-  std::vector<sched::TeamQuota> teams;
-  for (std::size_t i = 0; i < used.size(); ++i)
-    teams.push_back({used[i], w.settings.teams[i].cpus_max, w.settings.teams[i].gpus_max});
-  // Room that is on its way, by partition, eats up the backlog first.
-  struct Coming {
-    core::PartitionId partition;
-    core::MachineTypeId type;
-    bool spot;
-    core::Resources free;
-  };
-  std::vector<Coming> coming;
-  // Room on spot machines, coming or there already, by partition: see `relief` below.
-  std::vector<Coming> spare_spot;
-  for (const auto& [id, m] : w.fleet.all()) {
-    if (!m.partition.valid() || !w.leads(m.partition) || m.terminating || m.quarantined || m.gone) continue;
-    const auto* machine_type = w.fleet.machine_type(m.type);
-    if (!machine_type) continue;
-    if (m.has_heartbeat) {
-      if (!m.spot) continue;
-      auto free = machine_type->size;
-      free -= w.used_on(id);
-      spare_spot.push_back({m.partition, m.type, true, free});
-      continue;
-    }
-    if (is_boot_overdue(m, *machine_type, now)) continue;
-    coming.push_back({m.partition, m.type, m.spot, machine_type->size});
-    if (m.spot) spare_spot.push_back(coming.back());
-  }
-  const bool others_use_spot =
-      std::any_of(w.job_classes.begin(), w.job_classes.end(),
-                  [](const sched::JobClassProfile& l) { return l.spot && l.tasks >= 1; });
-  // Some kind of ordinary machine that the job may use was not refused lately.
-  const auto ordinary_left = [&](const sched::Demand& d, const std::string& zone) {
-    for (std::size_t f = 0; f < w.fleet.machine_types.size(); ++f) {
-      const auto& machine_type = w.fleet.machine_types[f];
-      if (d.types &&
-          std::find(d.types->begin(), d.types->end(), w.fleet.machine_type_ids[f]) == d.types->end())
-        continue;
-      if (std::find(machine_type.zones.begin(), machine_type.zones.end(), zone) == machine_type.zones.end())
-        continue;
-      if (!d.need.fits(machine_type.size)) continue;
-      const auto refused = no_capacity_until_.find(machine_type.name + "|" + zone + "|own");
-      if (refused == no_capacity_until_.end() || refused->second <= now) return true;
-    }
-    return false;
-  };
-  for (std::size_t i = 0; i < backlog_.size(); ++i) {
-    const auto& d = backlog_[i].demand;
-    const auto partition = backlog_[i].partition;
-    if (!w.leads(partition)) continue;
-    auto left = d.gang ? static_cast<std::uint32_t>(d.tasks.size()) : d.count;
-    auto& team = teams[d.team.index];
-    auto c = coming.begin();
-    const auto takes = [&](const Coming& m) {
-      return m.partition == partition && d.need.fits(m.free) && (!m.spot || d.spot) &&
-             (!d.types || std::find(d.types->begin(), d.types->end(), m.type) != d.types->end());
+std::optional<Autoscaler::Rental> Autoscaler::next_rental(core::TimePoint now) {
+  return state_.with([&](ControllerState& state) -> std::optional<Rental> {
+    auto requests = plan_scale_out(state, backlog_, backoff_, now);
+    if (requests.empty()) return std::nullopt;
+    auto& most_needed = requests.front();
+    return Rental{
+        std::move(most_needed.kind),
+        machines_in_one_request(most_needed.machines, state.tuning.scale_out_batch),
+        fmt::format("{}-{}-{}", state.settings.label, state.incarnation, ++scale_out_count_),
     };
-    for (; left > 0 && team.allows(d.need); --left) {
-      c = std::find_if(c, coming.end(), takes);
-      if (c == coming.end()) break;
-      c->free -= d.need;
-      team.used += d.need;
-    }
-    const auto& zone_name = w.names.zones.name(w.partitions.zone(partition));
-    const ScaleOutRequest* best = nullptr;
-    double best_price = 0;
-    int best_each = 1;
-    // Where ordinary machines have run out, work that may use spot machines is given some, so that it leaves
-    // the ordinary ones to this job; what is spare already is counted first.
-    const bool relief = !d.spot && left > 0 && others_use_spot && !ordinary_left(d, zone_name);
-    for (auto m = spare_spot.begin(); relief && left > 0 && m != spare_spot.end();) {
-      if (m->partition == partition && d.need.fits(m->free)) {
-        m->free -= d.need;
-        --left;
-      } else {
-        ++m;
-      }
-    }
-    for (std::size_t f = 0; left > 0 && team.allows(d.need) && f < w.fleet.machine_types.size(); ++f) {
-      const auto& machine_type = w.fleet.machine_types[f];
-      const auto type = w.fleet.machine_type_ids[f];
-      if (d.types && std::find(d.types->begin(), d.types->end(), type) == d.types->end()) continue;
-      if (std::find(machine_type.zones.begin(), machine_type.zones.end(), zone_name) ==
-          machine_type.zones.end())
-        continue;
-      const int each = d.need.times_in(machine_type.size);
-      if (each < 1) continue;
-      for (const bool spot : {false, true}) {
-        if (spot && !d.spot && !relief) continue;
-        const auto slot = machine_type.name + "|" + zone_name + (spot ? "|spot" : "|own");
-        if (auto it = no_capacity_until_.find(slot); it != no_capacity_until_.end() && it->second > now)
-          continue;
-        const double price =
-            (spot ? machine_type.spot_price : machine_type.price) / std::min<double>(each, left);
-        if (best && price >= best_price) continue;
-        best_price = price;
-        best_each = each;
-        best = &requests.try_emplace(slot, ScaleOutRequest{machine_type.name, zone_name, spot, 0, slot})
-                    .first->second;
-      }
-    }
-    if (!best) continue;
-    std::uint32_t asked = 0;
-    for (; asked < left && team.allows(d.need); ++asked) team.used += d.need;
-    requests.at(best->slot).machines += static_cast<double>(asked) / best_each;
-  }
-  std::vector<ScaleOutRequest> out;
-  for (auto& [_, requested] : requests)
-    if (requested.machines > 0) out.push_back(std::move(requested));
-  std::sort(out.begin(), out.end(),
-            [](const ScaleOutRequest& a, const ScaleOutRequest& b) { return a.machines > b.machines; });
-  return out;
+  });
 }
 
 asio::awaitable<void> Autoscaler::scale_out() {
-  constexpr int kMostAtOnce = 50;  // the cloud's limit
-  std::optional<ScaleOutRequest> requested;
-  int count = 0;
-  std::string request;
   const auto now = core::Steady::now();
-  state_.with([&](ControllerState& w) {
-    if (w.fleet.machine_types.empty()) return;
-    auto requests = plan_scale_out(w, now);
-    if (requests.empty()) return;
-    requested = std::move(requests.front());
-    // Work that ends in the meantime frees room too: a large need is met by halves.
-    const int need = static_cast<int>(std::ceil(requested->machines));
-    count = std::min(kMostAtOnce, std::max(std::min(w.tuning.scale_out_batch, need), need / 2));
-    request = fmt::format("{}-{}-{}", w.settings.label, w.incarnation, ++scale_out_count_);
-  });
-  if (!requested) co_return;
+  const auto rental = next_rental(now);
+  if (!rental) co_return;
+  const auto& kind = rental->kind;
   const auto answer =
-      co_await cloud_.scale_out(request, requested->type, requested->zone, requested->spot, count);
-  spdlog::info("hire type={} zone={} spot={} wanted={} got={} request={}", requested->type, requested->zone,
-               requested->spot, count, answer.machines.size(), request);
-  if (answer.kind == cloud::ScaleOutResult::Kind::no_capacity) {
-    no_capacity_until_[requested->slot] = now + runtime_.jitter(15);
-  } else if (answer.kind == cloud::ScaleOutResult::Kind::failed) {
+      co_await cloud_.scale_out(rental->request_id, kind.type, kind.zone, kind.spot, rental->count);
+  const auto rented = answer.machines.size();
+  spdlog::info("scale out type={} zone={} spot={} requested={} rented={} request_id={}", kind.type, kind.zone,
+               kind.spot, rental->count, rented, rental->request_id);
+  if (answer.kind == cloud::ScaleOutResult::Kind::failed) {
     // Rented perhaps: such machines show up in the list and are used. Not asked again at once.
-    no_capacity_until_[requested->slot] = now + runtime_.jitter(4);
-  } else {
-    state_.with([&](ControllerState& w) {
-      for (const auto& name : answer.machines) {
-        auto& m = w.fleet.intern(w.names, name);
-        m.type = w.names.types.intern(requested->type);
-        m.zone = w.names.zones.intern(requested->zone);
-        m.partition = w.partitions.partition_of(name, m.zone).value_or(core::PartitionId{});
-        m.spot = requested->spot;
-        m.status = "starting";
-        m.first_seen = m.starting_since = core::Steady::now();
-      }
-    });
-    if (answer.machines.size() < static_cast<std::size_t>(count))
-      no_capacity_until_[requested->slot] = now + runtime_.jitter(15);
+    backoff_.back_off(kind, now + runtime_.jitter(kFailedRequestBackoffS));
+    co_return;
   }
+  if (answer.kind == cloud::ScaleOutResult::Kind::ok) take_over_rented(kind, answer.machines);
+  if (rented < static_cast<std::size_t>(rental->count))
+    backoff_.back_off(kind, now + runtime_.jitter(kNoCapacityBackoffS));
+}
+
+void Autoscaler::take_over_rented(const MachineKind& kind, const std::vector<std::string>& machines) {
+  state_.with([&](ControllerState& state) {
+    for (const auto& name : machines) {
+      auto& machine = state.fleet.intern(state.names, name);
+      machine.type = state.names.types.intern(kind.type);
+      machine.zone = state.names.zones.intern(kind.zone);
+      machine.partition = state.partitions.partition_of(name, machine.zone).value_or(core::PartitionId{});
+      machine.spot = kind.spot;
+      machine.status = "starting";
+      machine.first_seen = machine.starting_since = core::Steady::now();
+    }
+  });
 }
 
 }  // namespace finchrun::autoscaling
--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -1,10 +1,13 @@
 // The cloud: machine types, the lagging machine list, scale out for the backlog, scale in.
 #pragma once
 
-#include <map>
+#include <cstdint>
+#include <optional>
 #include <string>
 #include <vector>
 
+#include "autoscaling/capacity_backoff.hpp"
+#include "autoscaling/scale_in_plan.hpp"
 #include "cloud/cloud.hpp"
 #include "controller/controller_state.hpp"
 #include "controller/runtime.hpp"
@@ -14,15 +17,8 @@
 
 namespace asio = boost::asio;
 
-// What one kind of machine is wanted for.
-struct ScaleOutRequest {
-  std::string type, zone;
-  bool spot = false;
-  double machines = 0;
-  std::string slot;
-};
-
-/// Rents machines for the backlog, and returns those that are idle, broken or silent.
+/// Rents machines for the backlog, and returns those that are idle, broken or silent. What to rent and to
+/// return is decided in scale_out_plan and scale_in_plan; this carries it out.
 class Autoscaler {
  public:
   Autoscaler(controller::Runtime& runtime, controller::SharedState& state, cloud::Cloud& cloud,
@@ -33,17 +29,26 @@
   asio::awaitable<void> run();
 
  private:
+  /// One request to the cloud.
+  struct Rental {
+    MachineKind kind;
+    int count = 0;
+    /// Made once by this process, so that the cloud takes a repeated request for the same one.
+    std::string request_id;
+  };
+
   asio::awaitable<void> refresh_machine_types();
   asio::awaitable<void> refresh_machines();
   asio::awaitable<void> scale_in();
   asio::awaitable<void> scale_out();
-  std::vector<ScaleOutRequest> plan_scale_out(controller::ControllerState& w, core::TimePoint now);
+  std::optional<Rental> next_rental(core::TimePoint now);
+  void take_over_rented(const MachineKind& kind, const std::vector<std::string>& machines);
 
   controller::Runtime& runtime_;
   controller::SharedState& state_;
   cloud::Cloud& cloud_;
   const scheduling::Backlog& backlog_;
-  std::map<std::string, core::TimePoint> no_capacity_until_;
+  CapacityBackoff backoff_;
   std::uint64_t scale_out_count_ = 0;
 };
 
