--- /dev/null
+++ b/src/agent/fleet.cpp
@@ -0,0 +1,45 @@
+#include "agent/fleet.hpp"
+
+namespace finchrun::agent {
+
+Machine& Fleet::intern(jobs::Names& names, const std::string& name) {
+  const auto id = names.machines.intern(name);
+  const auto [entry, is_new] = machines_.try_emplace(id);
+  auto& machine = entry->second;
+  if (is_new) {
+    machine.id = id;
+    machine.name = name;
+  }
+  return machine;
+}
+
+Machine* Fleet::find(core::MachineId id) {
+  const auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : &found->second;
+}
+
+const Machine* Fleet::find(core::MachineId id) const {
+  const auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : &found->second;
+}
+
+const cloud::MachineType* Fleet::machine_type(core::MachineTypeId id) const {
+  for (std::size_t i = 0; i < machine_type_ids.size(); ++i)
+    if (machine_type_ids[i] == id) return &machine_types[i];
+  return nullptr;
+}
+
+bool Fleet::ended(core::JobId job, core::PartitionId partition,
+                  const jobs::TaskAssignment& assignment) const {
+  ObservedExit observed_exit{job, partition, assignment.task, assignment.attempt, false};
+  if (observed_exits.contains(observed_exit)) return true;
+  observed_exit.done = true;
+  return observed_exits.contains(observed_exit);
+}
+
+bool Fleet::was_deleted(const jobs::Names& names, const std::string& name) const {
+  const auto id = names.machines.find(name);
+  return id && deleted.contains(*id);
+}
+
+}  // namespace finchrun::agent
--- /dev/null
+++ b/tests/agent/machine_test.cpp
@@ -0,0 +1,72 @@
+#include "agent/machine.hpp"
+
+#include <gtest/gtest.h>
+
+#include "agent/heartbeat_handler.hpp"
+
+namespace finchrun::agent {
+namespace {
+
+core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
+
+TEST(Machine, OnlyALaterMessageCounts) {
+  struct Case {
+    std::uint64_t incarnation, sequence;
+    bool outdated;
+  };
+  Machine machine;
+  EXPECT_FALSE(machine.is_outdated(0, 0));  // the first one
+  machine.has_heartbeat = true;
+  machine.agent_incarnation = 3;
+  machine.sequence = 10;
+  for (const auto& c :
+       {Case{3, 9, true}, Case{3, 10, true}, Case{3, 11, false}, Case{2, 50, true}, Case{4, 1, false}})
+    EXPECT_EQ(machine.is_outdated(c.incarnation, c.sequence), c.outdated)
+        << c.incarnation << "." << c.sequence;
+}
+
+TEST(Machine, StaysUnreachableSinceTheFirstSignOfIt) {
+  Machine machine;
+  machine.mark_unreachable(at(100));
+  machine.mark_unreachable(at(130));
+  EXPECT_EQ(machine.unreachable_since, at(100));
+  EXPECT_EQ(machine.unreachable_in_incarnation, at(130));
+  machine.heard();
+  EXPECT_FALSE(machine.unreachable());
+}
+
+TEST(Machine, DropsTheImagesThatWereNotUsedForLongest) {
+  struct Case {
+    const char* name;
+    std::optional<double> cache_gb;
+    std::vector<std::uint32_t> uses, held;
+  };
+  for (const auto& c :
+       {Case{"fit", 30, {0, 1, 2}, {0, 1, 2}}, Case{"too_many", 29, {0, 1, 2}, {1, 2}},
+        Case{"used_again", 29, {0, 1, 0, 2}, {0, 2}}, Case{"larger_than_cache", 5, {0, 1}, {1}},
+        Case{"unknown_type", std::nullopt, {0, 1, 2, 3}, {0, 1, 2, 3}}}) {
+    Machine machine;
+    for (const auto image : c.uses) machine.use_image(core::ImageId{image}, 10, c.cache_gb);
+    std::vector<std::uint32_t> held;
+    for (const auto& [image, _] : machine.images) held.push_back(image.index);
+    EXPECT_EQ(held, c.held) << c.name;
+  }
+}
+
+// Pauses of 8 s, 16 s ... from the second machine on, a minute at most.
+TEST(JobFailures, PauseGrowsWithTheMachines) {
+  JobFailures failures;
+  failures.record(core::MachineId{0}, at(100));
+  failures.record(core::MachineId{0}, at(101));
+  EXPECT_EQ(failures.retry_at, core::TimePoint{});
+  std::vector<double> pauses_s;
+  for (std::uint32_t machine = 1; machine < 5; ++machine) {
+    failures.record(core::MachineId{machine}, at(110));
+    pauses_s.push_back(core::since(at(110), failures.retry_at));
+  }
+  EXPECT_EQ(pauses_s, (std::vector<double>{8, 16, 32, 60}));
+  EXPECT_EQ(failures.failures, 6);
+}
+
+}  // namespace
+}  // namespace finchrun::agent
