--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <variant>
 
 #include "autoscaling/scale_out_plan.hpp"
 
@@ -100,7 +101,8 @@
 }
 
 asio::awaitable<void> Autoscaler::refresh_machine_types() {
-  auto machine_types = co_await cloud_.machine_types();
+  auto answer = co_await cloud_.machine_types();
+  auto* machine_types = std::get_if<std::vector<cloud::MachineType>>(&answer);
   if (!machine_types) co_return;
   state_.with([&](ControllerState& state) {
     state.fleet.machine_type_ids.clear();
@@ -111,7 +113,8 @@
 }
 
 asio::awaitable<void> Autoscaler::refresh_machines() {
-  auto list = co_await cloud_.machines();
+  const auto answer = co_await cloud_.machines();
+  const auto* list = std::get_if<std::vector<cloud::ListedMachine>>(&answer);
   if (!list) co_return;
   const auto now = core::Steady::now();
   state_.with([&](ControllerState& state) {
@@ -134,7 +137,8 @@
   if (decisions.empty()) co_return;
   std::vector<std::string> names;
   for (const auto& decision : decisions) names.push_back(decision.name);
-  const bool gone = co_await cloud_.release(names);
+  const auto answer = co_await cloud_.release(names);
+  const bool gone = std::holds_alternative<cloud::Released>(answer);
   state_.with([&](ControllerState& state) {
     for (const auto& decision : decisions) {
       if (gone)
@@ -165,17 +169,20 @@
   const auto& kind = rental->kind;
   const auto answer =
       co_await cloud_.scale_out(rental->request_id, kind.type, kind.zone, kind.spot, rental->count);
-  const auto rented = answer.machines.size();
+  const auto* rented = std::get_if<cloud::Rented>(&answer);
+  const auto count = rented ? rented->machines.size() : 0;
   spdlog::info("scale out type={} zone={} spot={} requested={} rented={} request_id={}", kind.type, kind.zone,
-               kind.spot, rental->count, rented, rental->request_id);
-  if (answer.kind == cloud::ScaleOutResult::Kind::failed) {
+               kind.spot, rental->count, count, rental->request_id);
+  if (rented) {
+    take_over_rented(kind, rented->machines);
+    if (count < static_cast<std::size_t>(rental->count))
+      backoff_.back_off(kind, now + runtime_.jitter(kNoCapacityBackoffS));
+  } else if (std::get<cloud::Error>(answer) == cloud::Error::no_capacity) {
+    backoff_.back_off(kind, now + runtime_.jitter(kNoCapacityBackoffS));
+  } else {
     // Rented perhaps: such machines show up in the list and are used. Not asked again at once.
     backoff_.back_off(kind, now + runtime_.jitter(kFailedRequestBackoffS));
-    co_return;
   }
-  if (answer.kind == cloud::ScaleOutResult::Kind::ok) take_over_rented(kind, answer.machines);
-  if (rented < static_cast<std::size_t>(rental->count))
-    backoff_.back_off(kind, now + runtime_.jitter(kNoCapacityBackoffS));
 }
 
 void Autoscaler::take_over_rented(const MachineKind& kind, const std::vector<std::string>& machines) {
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -6,6 +6,7 @@
 #include <boost/asio/this_coro.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/json.hpp>
+#include <optional>
 
 namespace finchrun::cloud {
 namespace {
@@ -13,30 +14,130 @@
 namespace json = boost::json;
 using namespace std::chrono_literals;
 
-std::optional<json::value> parse(const http::Answer& answer) {
-  if (answer.status != 200) return std::nullopt;
-  boost::system::error_code ec;
-  json::value v = json::parse(answer.body, ec);
-  if (ec || !v.is_object()) return std::nullopt;
-  return v;
+constexpr auto kAnswerWithin = 5000ms;
+constexpr int kMostPages = 200;
+
+struct MachinePage {
+  std::vector<ListedMachine> machines;
+  bool more = false;
+};
+
+std::string text(const json::object& object, const char* key) {
+  return std::string(object.at(key).as_string());
+}
+double real(const json::object& object, const char* key) { return object.at(key).to_number<double>(); }
+
+std::optional<Error> error_of(const http::Answer& answer) {
+  switch (answer.status) {
+    case 200:
+      return std::nullopt;
+    case 0:
+      return Error::no_answer;
+    case 429:
+      return Error::rate_limited;
+    case 503:
+      if (answer.body.find("no capacity") != std::string::npos) return Error::no_capacity;
+      return Error::refused;
+    default:
+      return Error::refused;
+  }
+}
+
+/// What `read` makes of the answer's object; `read` throws if it is not what the protocol says.
+template <class Read>
+auto parse(const http::Answer& answer, const char* request, Read&& read)
+    -> Result<decltype(read(std::declval<const json::object&>()))> {
+  if (const auto error = error_of(answer)) {
+    spdlog::debug("cloud request failed request={} reason={} status={}", request, name_of(*error),
+                  answer.status);
+    return *error;
+  }
+  try {
+    return read(json::parse(answer.body).as_object());
+  } catch (const std::exception& error) {
+    spdlog::warn("cloud answer malformed request={} reason=\"{}\"", request, error.what());
+    return Error::malformed;
+  }
+}
+
+MachineType read_machine_type(const json::object& object) {
+  MachineType type;
+  type.name = text(object, "name");
+  type.size = {real(object, "vcpus"), real(object, "gpus"), real(object, "ramGb")};
+  type.cache_gb = real(object, "cacheGb");
+  type.fetch_gb_per_s = real(object, "pullGbPerS");
+  type.price = real(object, "rate");
+  type.spot_price = real(object, "spotPrice");
+  type.boot_s = real(object, "readyS");
+  for (const auto& zone : object.at("halls").as_array()) type.zones.emplace_back(zone.as_string());
+  return type;
+}
+
+std::vector<MachineType> read_machine_types(const json::object& object) {
+  std::vector<MachineType> types;
+  for (const auto& item : object.at("racks").as_array()) types.push_back(read_machine_type(item.as_object()));
+  if (types.empty()) throw std::runtime_error("no machine types");
+  return types;
+}
+
+ListedMachine read_machine(const json::object& object) {
+  ListedMachine machine;
+  machine.name = text(object, "nameId");
+  if (const auto* endpoint = object.if_contains("endpoint"); endpoint && endpoint->is_string())
+    machine.endpoint = text(object, "endpoint");
+  machine.type = text(object, "rack");
+  machine.zone = text(object, "hall");
+  machine.spot = object.at("loaners").as_bool();
+  machine.status = text(object, "status");
+  machine.held_s = real(object, "heldS");
+  return machine;
+}
+
+MachinePage read_machine_page(const json::object& object) {
+  MachinePage page;
+  for (const auto& item : object.at("perches").as_array())
+    page.machines.push_back(read_machine(item.as_object()));
+  page.more = object.at("hasNext").as_bool();
+  return page;
+}
+
+Rented read_rented(const json::object& object) {
+  Rented rented;
+  for (const auto& name : object.at("perches").as_array()) rented.machines.emplace_back(name.as_string());
+  return rented;
 }
 
-double real(const json::object& o, const char* key) { return o.at(key).to_number<double>(); }
 // Kept out of the coroutines: GCC 12 can't hold initializer lists in a coroutine's frame.
-std::string scale_out_body(const std::string& request, const std::string& type, const std::string& zone,
+std::string scale_out_body(const std::string& request_id, const std::string& type, const std::string& zone,
                            bool spot, int count) {
-  return json::serialize(
-      json::object{{"hire", request}, {"rack", type}, {"hall", zone}, {"loaners", spot}, {"howMany", count}});
+  return json::serialize(json::object{
+      {"hire", request_id}, {"rack", type}, {"hall", zone}, {"loaners", spot}, {"howMany", count}});
 }
+
 std::string release_body(const std::vector<std::string>& names) {
   json::array list;
-  for (const auto& n : names) list.emplace_back(n);
+  for (const auto& name : names) list.emplace_back(name);
   return json::serialize(json::object{{"perches", std::move(list)}});
 }
-std::string text(const json::object& o, const char* key) { return std::string(o.at(key).as_string()); }
 
 }  // namespace
 
+const char* name_of(Error error) {
+  switch (error) {
+    case Error::rate_limited:
+      return "rate_limited";
+    case Error::no_answer:
+      return "no_answer";
+    case Error::no_capacity:
+      return "no_capacity";
+    case Error::refused:
+      return "refused";
+    case Error::malformed:
+      return "malformed";
+  }
+  return "unknown";
+}
+
 Cloud::Cloud(http::Network& network, const config::Settings& s)
     : client_(network.connect(s.cloud, 2)),
       rate_(s.cloud_rps / s.nodes),
@@ -44,101 +145,54 @@
 
 asio::awaitable<http::Answer> Cloud::call(http::Verb verb, std::string target, std::string body) {
   if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::Answer{429, {}};
-  co_return co_await client_->call(verb, std::move(target), std::move(body), 5000ms);
+  co_return co_await client_->call(verb, std::move(target), std::move(body), kAnswerWithin);
 }
 
-asio::awaitable<std::optional<std::vector<MachineType>>> Cloud::machine_types() {
-  http::Answer answer = co_await call(http::Verb::get, "/flavors", {});
-  auto v = parse(answer);
-  if (!v) co_return std::nullopt;
-  try {
-    std::vector<MachineType> out;
-    for (const auto& item : v->at("racks").as_array()) {
-      const auto& o = item.as_object();
-      MachineType f;
-      f.name = text(o, "name");
-      f.size = {real(o, "vcpus"), real(o, "gpus"), real(o, "ramGb")};
-      f.cache_gb = real(o, "cacheGb");
-      f.fetch_gb_per_s = real(o, "pullGbPerS");
-      f.price = real(o, "rate");
-      f.spot_price = real(o, "spotPrice");
-      f.boot_s = real(o, "readyS");
-      for (const auto& z : o.at("halls").as_array()) f.zones.emplace_back(z.as_string());
-      out.push_back(std::move(f));
-    }
-    if (out.empty()) co_return std::nullopt;
-    co_return out;
-  } catch (const std::exception& e) {
-    spdlog::warn("cloud: machine types do not parse: {}", e.what());
-    co_return std::nullopt;
+asio::awaitable<void> Cloud::wait_for_turn() {
+  while (!rate_limiter_.take(1, 0, core::Steady::now())) {
+    core::Timer timer(co_await asio::this_coro::executor, core::secs(0.5 / rate_));
+    boost::system::error_code ec;
+    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
 }
 
-asio::awaitable<std::optional<std::vector<ListedMachine>>> Cloud::machines() {
-  std::vector<ListedMachine> out;
-  std::string after;
-  for (int page = 0; page < 200; ++page) {
-    pages_ = std::max(pages_, page + 1);
-    // A long list outlasts a burst of the budget: its next page waits for its turn rather than failing.
-    while (!rate_limiter_.take(1, 0, core::Steady::now())) {
-      core::Timer timer(co_await asio::this_coro::executor, core::secs(0.5 / rate_));
-      boost::system::error_code ec;
-      co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-    }
+asio::awaitable<Result<std::vector<MachineType>>> Cloud::machine_types() {
+  const http::Answer answer = co_await call(http::Verb::get, "/flavors", {});
+  co_return parse(answer, "machine_types", read_machine_types);
+}
+
+asio::awaitable<Result<std::vector<ListedMachine>>> Cloud::machines() {
+  std::vector<ListedMachine> machines;
+  for (int page_number = 1; page_number <= kMostPages; ++page_number) {
+    pages_ = std::max(pages_, page_number);
+    // A long list outlasts a burst of the limit: its next page waits for its turn rather than failing.
+    co_await wait_for_turn();
     std::string target = "/hosts?limit=500";
-    if (!after.empty()) target += "&from=" + after;
-    http::Answer answer = co_await client_->call(http::Verb::get, std::move(target), {}, 5000ms);
-    auto v = parse(answer);
-    if (!v) co_return std::nullopt;
-    bool more = false;
-    try {
-      for (const auto& item : v->at("perches").as_array()) {
-        const auto& o = item.as_object();
-        ListedMachine m;
-        m.name = text(o, "nameId");
-        if (const auto* ep = o.if_contains("endpoint"); ep && ep->is_string())
-          m.endpoint = text(o, "endpoint");
-        m.type = text(o, "rack");
-        m.zone = text(o, "hall");
-        m.spot = o.at("loaners").as_bool();
-        m.status = text(o, "status");
-        m.held_s = real(o, "heldS");
-        out.push_back(std::move(m));
-      }
-      more = v->at("hasNext").as_bool();
-    } catch (const std::exception& e) {
-      spdlog::warn("cloud: machine list does not parse: {}", e.what());
-      co_return std::nullopt;
-    }
-    if (!more || out.empty()) break;
-    after = out.back().name;
+    if (!machines.empty()) target += "&from=" + machines.back().name;
+    const http::Answer answer = co_await client_->call(http::Verb::get, std::move(target), {}, kAnswerWithin);
+    auto result = parse(answer, "machines", read_machine_page);
+    if (const auto* error = std::get_if<Error>(&result)) co_return *error;
+    auto& page = std::get<MachinePage>(result);
+    std::move(page.machines.begin(), page.machines.end(), std::back_inserter(machines));
+    if (!page.more || machines.empty()) break;
   }
-  co_return out;
+  co_return machines;
 }
 
-asio::awaitable<ScaleOutResult> Cloud::scale_out(std::string request, std::string type, std::string zone,
+asio::awaitable<Result<Rented>> Cloud::scale_out(std::string request_id, std::string type, std::string zone,
                                                  bool spot, int count) {
-  http::Answer answer =
-      co_await call(http::Verb::post, "/hosts", scale_out_body(request, type, zone, spot, count));
-  ScaleOutResult out;
-  if (answer.status == 503 && answer.body.find("no capacity") != std::string::npos) {
-    out.kind = ScaleOutResult::Kind::no_capacity;
-    co_return out;
-  }
-  auto v = parse(answer);
-  if (!v) co_return out;
-  try {
-    for (const auto& n : v->at("perches").as_array()) out.machines.emplace_back(n.as_string());
-    out.kind = ScaleOutResult::Kind::ok;
-  } catch (const std::exception&) {
-    out = ScaleOutResult{};
-  }
-  co_return out;
+  const http::Answer answer =
+      co_await call(http::Verb::post, "/hosts", scale_out_body(request_id, type, zone, spot, count));
+  co_return parse(answer, "scale_out", read_rented);
 }
 
-asio::awaitable<bool> Cloud::release(std::vector<std::string> names) {
-  http::Answer answer = co_await call(http::Verb::post, "/hosts/release", release_body(names));
-  co_return answer.status == 200;
+asio::awaitable<Result<Released>> Cloud::release(std::vector<std::string> names) {
+  const http::Answer answer = co_await call(http::Verb::post, "/hosts/release", release_body(names));
+  if (const auto error = error_of(answer)) {
+    spdlog::debug("cloud request failed request=release reason={} status={}", name_of(*error), answer.status);
+    co_return *error;
+  }
+  co_return Released{};
 }
 
 }  // namespace finchrun::cloud
--- /dev/null
+++ b/tests/cloud/cloud_test.cpp
@@ -0,0 +1,199 @@
+#include "cloud/cloud.hpp"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/io_context.hpp>
+#include <boost/json.hpp>
+#include <deque>
+#include <optional>
+
+namespace finchrun::cloud {
+namespace {
+
+/// Answers with what the test has prepared, and keeps what it was asked.
+struct ScriptedNetwork : http::Network {
+  struct ScriptedTransport : http::Transport {
+    explicit ScriptedTransport(ScriptedNetwork& network) : script(network) {}
+    asio::awaitable<http::Answer> call(http::Verb, std::string target, std::string body,
+                                       std::chrono::milliseconds) override {
+      script.targets.push_back(std::move(target));
+      script.bodies.push_back(std::move(body));
+      if (script.answers.empty()) co_return http::Answer{};
+      auto answer = script.answers.front();
+      script.answers.pop_front();
+      co_return answer;
+    }
+    ScriptedNetwork& script;
+  };
+  std::unique_ptr<http::Transport> connect(const config::Endpoint&, std::size_t) override {
+    return std::make_unique<ScriptedTransport>(*this);
+  }
+  std::deque<http::Answer> answers;
+  std::vector<std::string> targets, bodies;
+};
+
+struct Scene {
+  explicit Scene(std::deque<http::Answer> answers, double requests_per_s = 1000)
+      : cloud(network, settings(requests_per_s)) {
+    network.answers = std::move(answers);
+  }
+  static config::Settings settings(double requests_per_s) {
+    config::Settings s;
+    s.cloud_rps = requests_per_s;
+    return s;
+  }
+  ScriptedNetwork network;
+  Cloud cloud;
+};
+
+template <class F>
+auto run(F&& start) {
+  asio::io_context io;
+  std::optional<typename decltype(start())::value_type> result;
+  asio::co_spawn(
+      io, [&]() -> asio::awaitable<void> { result = co_await start(); }, asio::detached);
+  io.run();
+  return *result;
+}
+
+const char* kTypes = R"({"racks":[{"name":"gpu.8","vcpus":64,"gpus":8,"ramGb":512.5,"cacheGb":100,
+    "pullGbPerS":0.5,"rate":20,"spotPrice":6,"readyS":90,"halls":["a","b"]}]})";
+
+TEST(Cloud, ReadsMachineTypes) {
+  Scene scene({{200, kTypes}});
+  const auto result = run([&] { return scene.cloud.machine_types(); });
+  const auto* types = std::get_if<std::vector<MachineType>>(&result);
+  ASSERT_TRUE(types);
+  ASSERT_EQ(types->size(), 1u);
+  const auto& type = types->front();
+  EXPECT_EQ(type.name, "gpu.8");
+  EXPECT_EQ(type.size.cpus, 64);
+  EXPECT_EQ(type.size.gpus, 8);
+  EXPECT_EQ(type.size.ram_gb, 512.5);
+  EXPECT_EQ(type.cache_gb, 100);
+  EXPECT_EQ(type.fetch_gb_per_s, 0.5);
+  EXPECT_EQ(type.price, 20);
+  EXPECT_EQ(type.spot_price, 6);
+  EXPECT_EQ(type.boot_s, 90);
+  EXPECT_EQ(type.zones, (std::vector<std::string>{"a", "b"}));
+  EXPECT_EQ(scene.network.targets, std::vector<std::string>{"/flavors"});
+}
+
+struct ErrorCase {
+  const char* name;
+  http::Answer answer;
+  Error error;
+};
+class MachineTypesError : public testing::TestWithParam<ErrorCase> {};
+TEST_P(MachineTypesError, IsNamed) {
+  Scene scene({GetParam().answer});
+  const auto result = run([&] { return scene.cloud.machine_types(); });
+  ASSERT_TRUE(std::holds_alternative<Error>(result));
+  EXPECT_EQ(std::get<Error>(result), GetParam().error) << name_of(std::get<Error>(result));
+}
+INSTANTIATE_TEST_SUITE_P(
+    Table, MachineTypesError,
+    testing::Values(ErrorCase{"no_answer", {0, ""}, Error::no_answer},
+                    ErrorCase{"rate_limited", {429, ""}, Error::rate_limited},
+                    ErrorCase{"server_error", {500, ""}, Error::refused},
+                    ErrorCase{"unavailable", {503, "try again"}, Error::refused},
+                    ErrorCase{"not_json", {200, "<html>"}, Error::malformed},
+                    ErrorCase{"not_an_object", {200, "[]"}, Error::malformed},
+                    ErrorCase{"other_object", {200, "{}"}, Error::malformed},
+                    ErrorCase{"no_types", {200, R"({"racks":[]})"}, Error::malformed},
+                    ErrorCase{"type_without_size", {200, R"({"racks":[{"name":"x"}]})"}, Error::malformed}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+const char* kFirstPage = R"({"perches":[{"nameId":"m-1","endpoint":"10.0.0.1:80","rack":"gpu.8","hall":"a",
+    "loaners":true,"status":"running","heldS":12.5}],"hasNext":true})";
+const char* kLastPage = R"({"perches":[{"nameId":"m-2","endpoint":null,"rack":"cpu.4","hall":"b",
+    "loaners":false,"status":"starting","heldS":3}],"hasNext":false})";
+
+TEST(Cloud, ReadsTheMachineListPageByPage) {
+  Scene scene({{200, kFirstPage}, {200, kLastPage}});
+  const auto every_s = scene.cloud.list_every_s();
+  const auto result = run([&] { return scene.cloud.machines(); });
+  const auto* machines = std::get_if<std::vector<ListedMachine>>(&result);
+  ASSERT_TRUE(machines);
+  ASSERT_EQ(machines->size(), 2u);
+  const auto& first = machines->at(0);
+  EXPECT_EQ(first.name, "m-1");
+  EXPECT_EQ(first.endpoint, "10.0.0.1:80");
+  EXPECT_EQ(first.type, "gpu.8");
+  EXPECT_EQ(first.zone, "a");
+  EXPECT_EQ(first.status, "running");
+  EXPECT_TRUE(first.spot);
+  EXPECT_EQ(first.held_s, 12.5);
+  EXPECT_EQ(machines->at(1).endpoint, "");
+  EXPECT_FALSE(machines->at(1).spot);
+  EXPECT_EQ(scene.network.targets,
+            (std::vector<std::string>{"/hosts?limit=500", "/hosts?limit=500&from=m-1"}));
+  // A longer list is read less often.
+  EXPECT_DOUBLE_EQ(scene.cloud.list_every_s(), 2 * every_s);
+}
+
+TEST(Cloud, HalfAListIsNone) {
+  struct Case {
+    http::Answer second_page;
+    Error error;
+  };
+  for (const auto& c : {Case{{500, ""}, Error::refused}, Case{{0, ""}, Error::no_answer},
+                        Case{{200, R"({"perches":[]})"}, Error::malformed}}) {
+    Scene scene({{200, kFirstPage}, c.second_page});
+    const auto result = run([&] { return scene.cloud.machines(); });
+    ASSERT_TRUE(std::holds_alternative<Error>(result));
+    EXPECT_EQ(std::get<Error>(result), c.error);
+  }
+}
+
+TEST(Cloud, RequestsMachines) {
+  struct Case {
+    http::Answer answer;
+    std::variant<std::vector<std::string>, Error> result;
+  };
+  const std::vector<std::string> both{"m-1", "m-2"};
+  for (const auto& c : {Case{{200, R"({"perches":["m-1","m-2"]})"}, both},
+                        Case{{503, R"({"error":"no capacity"})"}, Error::no_capacity},
+                        Case{{503, R"({"error":"busy"})"}, Error::refused}, Case{{0, ""}, Error::no_answer},
+                        Case{{200, R"({"perches":["m-1",2]})"}, Error::malformed}}) {
+    Scene scene({c.answer});
+    const auto result = run([&] { return scene.cloud.scale_out("perch-0-7-1", "gpu.8", "a", true, 3); });
+    EXPECT_EQ(scene.network.bodies.at(0),
+              R"({"hire":"perch-0-7-1","rack":"gpu.8","hall":"a","loaners":true,"howMany":3})");
+    ASSERT_EQ(result.index(), c.result.index()) << c.answer.body;
+    if (const auto* rented = std::get_if<Rented>(&result))
+      EXPECT_EQ(rented->machines, std::get<0>(c.result));
+    else
+      EXPECT_EQ(std::get<Error>(result), std::get<Error>(c.result)) << c.answer.body;
+  }
+}
+
+// Only 200 proves that the machines are gone.
+TEST(Cloud, ReleasesMachines) {
+  for (const int status : {200, 0, 404, 429, 500, 503}) {
+    Scene scene({{status, ""}});
+    const auto result = run([&] { return scene.cloud.release({"m-1", "m-2"}); });
+    EXPECT_EQ(std::holds_alternative<Released>(result), status == 200) << status;
+    EXPECT_EQ(scene.network.targets.at(0), "/hosts/release");
+    EXPECT_EQ(scene.network.bodies.at(0), R"({"perches":["m-1","m-2"]})");
+  }
+}
+
+TEST(Cloud, SendsNothingBeyondItsShareOfTheLimit) {
+  Scene scene({{200, ""}, {200, ""}, {200, ""}}, 0.01);
+  int released = 0;
+  for (int i = 0; i < 3; ++i) {
+    const auto result = run([&] { return scene.cloud.release({"m-1"}); });
+    if (std::holds_alternative<Released>(result))
+      ++released;
+    else
+      EXPECT_EQ(std::get<Error>(result), Error::rate_limited);
+  }
+  EXPECT_EQ(released, 2);
+  EXPECT_EQ(scene.network.targets.size(), 2u);
+}
+
+}  // namespace
+}  // namespace finchrun::cloud
