--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+
 namespace finchrun::coordination {
 
 namespace {
@@ -9,119 +11,193 @@
 namespace json = boost::json;
 using controller::ControllerState;
 
+constexpr double kDecisionIntervalS = 0.25;
+// Who decides from an older view may be missing that the leader is back.
+constexpr double kMaxViewAgeS = 1.0;
+// A start command that got no answer for this long is made void by a new fencing token; until then its task
+// stays booked.
+constexpr double kUnansweredStartLimitS = 10;
+// A controller that has just come up may go again, and each transfer costs its partition a new fencing token.
+constexpr double kAliveBeforeTransferS = 8;
+
+// How long a partition without a leader waits for each label that is preferred before ours: long for a
+// controller that is alive and will acquire it, short for one that is not listed.
+struct AcquisitionWaits {
+  double first_s;  // for whoever comes first
+  double per_alive_label_s;
+  double per_absent_label_s;
+};
+constexpr AcquisitionWaits kFailoverWaits{0.2, 3.0, 0.3};
+// Nobody has ever led the partition: the deployment starts, and absent controllers may be about to come up.
+constexpr AcquisitionWaits kFirstLeaderWaits{0.0, 3.0, 1.5};
+
+double acquisition_wait_s(const PartitionSnapshot& partition, const LeadershipSnapshot& snapshot) {
+  const auto& waits = partition.leader.empty() ? kFirstLeaderWaits : kFailoverWaits;
+  double wait_s = waits.first_s;
+  for (const auto& label : partition.preference) {
+    if (label == snapshot.label) break;
+    wait_s += snapshot.alive_since.contains(label) ? waits.per_alive_label_s : waits.per_absent_label_s;
+  }
+  return wait_s;
+}
+
+// Our own earlier process is dead: nothing is gained by waiting. Where start commands of ours stay without an
+// answer, the partition is acquired once more for a new fencing token.
+bool should_acquire(const PartitionSnapshot& partition, const LeadershipSnapshot& snapshot,
+                    core::TimePoint now) {
+  switch (partition.status) {
+    case LeaderStatus::this_process:
+      return partition.oldest_unanswered_start &&
+             core::since(*partition.oldest_unanswered_start, now) > kUnansweredStartLimitS;
+    case LeaderStatus::earlier_process:
+      return true;
+    case LeaderStatus::alive:
+      return false;
+    case LeaderStatus::missing:
+      return core::since(partition.leader_missing_since, now) >= acquisition_wait_s(partition, snapshot);
+  }
+  return false;
+}
+
+// The first label that is preferred to ours and has been alive for long enough.
+std::optional<std::string> preferred_successor(const PartitionSnapshot& partition,
+                                               const LeadershipSnapshot& snapshot, core::TimePoint now) {
+  for (const auto& label : partition.preference) {
+    if (label == snapshot.label) break;
+    const auto alive = snapshot.alive_since.find(label);
+    if (alive != snapshot.alive_since.end() && core::since(alive->second, now) > kAliveBeforeTransferS)
+      return label;
+  }
+  return std::nullopt;
+}
+
+LeaderStatus leader_status(const ControllerState& state, core::PartitionId partition) {
+  const auto& leader = state.cache.leadership(partition).leader;
+  if (state.holds_leadership(partition)) return LeaderStatus::this_process;
+  if (leader == state.settings.label) return LeaderStatus::earlier_process;
+  return !leader.empty() && state.alive(leader) ? LeaderStatus::alive : LeaderStatus::missing;
+}
+
+std::optional<core::TimePoint> oldest_unanswered_start(const ControllerState& state,
+                                                       core::PartitionId partition) {
+  std::optional<core::TimePoint> oldest;
+  const auto fencing_token = state.fencing_token(partition);
+  for (const auto& [task, start] : state.fleet.direct_starts) {
+    if (start.answered_sequence || start.fencing_token != fencing_token) continue;
+    oldest = std::min(oldest.value_or(start.at), start.at);
+  }
+  return oldest;
+}
+
 json::value leadership_value(const std::string& leader, std::uint64_t incarnation) {
   return json::object{{"owner", leader}, {"inc", incarnation}};
 }
 
-// A start command that got no answer for this long is made void by a new term; until then its task stays
-// booked.
-bool has_unanswered_starts(const ControllerState& w, core::PartitionId partition, core::TimePoint now) {
-  constexpr double kPatience = 10;
-  return std::any_of(w.fleet.direct_starts.begin(), w.fleet.direct_starts.end(), [&](const auto& item) {
-    const auto& sent = item.second;
-    return !sent.answered_sequence && sent.fencing_token == w.fencing_token(partition) &&
-           core::since(sent.at, now) > kPatience;
-  });
+// Nothing while the cache doesn't show this process as a member.
+std::optional<state::Transaction> acquisition(const ControllerState& state,
+                                              const AcquireLeadership& decision) {
+  const auto& label = state.settings.label;
+  const auto* own = state.cache.member(label);
+  if (!own || own->incarnation != state.incarnation) return std::nullopt;
+  const auto key = state::keys::partition(state.names.partitions.name(decision.partition));
+  state::Transaction transaction;
+  transaction.compares.push_back({key, state.cache.leadership(decision.partition).revision});
+  transaction.compares.push_back({state::keys::member(label), own->revision});
+  // Its own label's earlier process is dead; another leader must have lost its membership.
+  if (!decision.from.empty() && decision.from != label)
+    transaction.compares.push_back({state::keys::member(decision.from), 0});
+  transaction.writes.push_back({key, leadership_value(label, state.incarnation)});
+  return transaction;
+}
+
+// Nothing if either side has changed since the decision.
+std::optional<state::Transaction> transfer_to(const ControllerState& state,
+                                              const TransferLeadership& decision) {
+  const auto* successor = state.cache.member(decision.to);
+  if (!successor || !state.holds_leadership(decision.partition)) return std::nullopt;
+  const auto key = state::keys::partition(state.names.partitions.name(decision.partition));
+  state::Transaction transaction;
+  transaction.compares.push_back({key, state.cache.leadership(decision.partition).revision});
+  transaction.compares.push_back({state::keys::member(decision.to), successor->revision});
+  transaction.writes.push_back({key, leadership_value(decision.to, successor->incarnation)});
+  return transaction;
+}
+
+std::string partition_name(controller::SharedState& state, core::PartitionId partition) {
+  return state.with([&](ControllerState& shared) { return shared.names.partitions.name(partition); });
 }
 
 }  // namespace
 
-asio::awaitable<void> Leadership::acquire(core::PartitionId partition, std::string from) {
-  state::Transaction txn;
-  std::string name;
-  const bool go = state_.with([&](ControllerState& w) {
-    const auto* me = w.cache.member(w.settings.label);
-    if (!me || me->incarnation != w.incarnation) return false;
-    name = w.names.partitions.name(partition);
-    txn.compares.push_back({state::keys::partition(name), w.cache.leadership(partition).revision});
-    txn.compares.push_back({state::keys::member(w.settings.label), me->revision});
-    // Its own label's earlier process is dead; another leader must have lost its membership.
-    if (!from.empty() && from != w.settings.label) txn.compares.push_back({state::keys::member(from), 0});
-    txn.writes.push_back({state::keys::partition(name), leadership_value(w.settings.label, w.incarnation)});
-    return true;
-  });
-  if (!go) co_return;
-  // An answer that does not come is read back by the next sync: only the record says who owns the partition.
-  const auto result = co_await follower_.commit(std::move(txn));
+LeadershipDecisions decide_leadership(const LeadershipSnapshot& snapshot, core::TimePoint now) {
+  LeadershipDecisions decisions;
+  for (const auto& partition : snapshot.partitions) {
+    if (should_acquire(partition, snapshot, now))
+      decisions.acquisitions.push_back({partition.partition, partition.leader});
+    if (partition.status != LeaderStatus::this_process) continue;
+    if (auto successor = preferred_successor(partition, snapshot, now))
+      decisions.transfers.push_back({partition.partition, std::move(*successor)});
+  }
+  return decisions;
+}
+
+std::optional<LeadershipSnapshot> Leadership::observe(ControllerState& state, core::TimePoint now) {
+  if (!state.loaded || state.incarnation == 0 || state.store_lease == 0) return std::nullopt;
+  if (core::since(state.synchronized_at, now) > kMaxViewAgeS) return std::nullopt;
+  for (const auto& member : state.settings.members) {
+    if (state.alive(member.label)) {
+      alive_since_.try_emplace(member.label, now);
+    } else {
+      alive_since_.erase(member.label);
+    }
+  }
+  LeadershipSnapshot snapshot{state.settings.label, alive_since_, {}};
+  for (std::uint32_t index = 0; index < state.partitions.size(); ++index) {
+    const core::PartitionId partition{index};
+    const auto status = leader_status(state, partition);
+    if (!state.leads(partition)) state.leading_since[index] = now;
+    auto& missing_since = state.leader_missing_since[index];
+    if (status == LeaderStatus::this_process || status == LeaderStatus::alive) missing_since = {};
+    if (status == LeaderStatus::missing && missing_since == core::TimePoint{}) missing_since = now;
+    const auto unanswered =
+        status == LeaderStatus::this_process ? oldest_unanswered_start(state, partition) : std::nullopt;
+    snapshot.partitions.push_back({partition, state.cache.leadership(partition).leader, status, missing_since,
+                                   state.partitions.preference(partition), unanswered});
+  }
+  return snapshot;
+}
+
+asio::awaitable<void> Leadership::acquire(AcquireLeadership decision) {
+  auto transaction = state_.with([&](const ControllerState& state) { return acquisition(state, decision); });
+  if (!transaction) co_return;
+  const auto partition = partition_name(state_, decision.partition);
+  // An answer that does not come is read back by the next sync: only the record says who leads the partition.
+  const auto result = co_await follower_.commit(std::move(*transaction));
   if (result.outcome == state::CommitStatus::done)
-    spdlog::info("claimed part={} term={} from={}", name, result.revision, from.empty() ? "-" : from);
+    spdlog::info("leadership acquired partition={} fencing_token={} from={}", partition, result.revision,
+                 decision.from.empty() ? "-" : decision.from);
   follower_.wake();
 }
 
-asio::awaitable<void> Leadership::transfer(core::PartitionId partition, std::string to) {
-  state::Transaction txn;
-  const auto name = state_.with([&](ControllerState& w) {
-    const auto& name = w.names.partitions.name(partition);
-    const auto* heir = w.cache.member(to);
-    if (!heir || !w.holds_leadership(partition)) return std::string();
-    txn.compares.push_back({state::keys::partition(name), w.cache.leadership(partition).revision});
-    txn.compares.push_back({state::keys::member(to), heir->revision});
-    txn.writes.push_back({state::keys::partition(name), leadership_value(to, heir->incarnation)});
-    return name;
-  });
-  if (name.empty()) co_return;
-  const auto result = co_await follower_.commit(std::move(txn));
+asio::awaitable<void> Leadership::transfer(TransferLeadership decision) {
+  auto transaction = state_.with([&](const ControllerState& state) { return transfer_to(state, decision); });
+  if (!transaction) co_return;
+  const auto partition = partition_name(state_, decision.partition);
+  const auto result = co_await follower_.commit(std::move(*transaction));
   if (result.outcome == state::CommitStatus::done)
-    spdlog::info("handed part={} to={} term={}", name, to, result.revision);
+    spdlog::info("leadership transferred partition={} fencing_token={} to={}", partition, result.revision,
+                 decision.to);
 }
 
 asio::awaitable<void> Leadership::run() {
   while (true) {
-    co_await runtime_.sleep(0.25);
+    co_await runtime_.sleep(kDecisionIntervalS);
     const auto now = core::Steady::now();
-    struct Step {
-      core::PartitionId partition;
-      std::string from, to;
-    };
-    std::vector<Step> guarantees, returns;
-    state_.with([&](ControllerState& w) {
-      if (!w.loaded || w.incarnation == 0 || w.store_lease == 0) return;
-      if (core::since(w.synchronized_at, now) > 1.0) return;
-      for (const auto& m : w.settings.members) {
-        if (!w.alive(m.label)) {
-          alive_since_.erase(m.label);
-        } else {
-          alive_since_.try_emplace(m.label, now);
-        }
-      }
-      for (std::uint32_t p = 0; p < w.partitions.size(); ++p) {
-        const core::PartitionId partition{p};
-        const auto& c = w.cache.leadership(partition);
-        auto& missing = w.leader_missing_since[p];
-        if (!w.leads(partition)) w.leading_since[p] = now;
-        if (w.holds_leadership(partition)) {
-          missing = {};
-          if (has_unanswered_starts(w, partition, now)) guarantees.push_back({partition, c.leader, {}});
-          for (const auto& label : w.partitions.preference(partition)) {
-            if (label == w.settings.label) break;
-            auto it = alive_since_.find(label);
-            if (it != alive_since_.end() && core::since(it->second, now) > 8) {
-              returns.push_back({partition, {}, label});
-              break;
-            }
-          }
-          continue;
-        }
-        if (c.leader == w.settings.label) {
-          guarantees.push_back({partition, c.leader, {}});
-          continue;
-        }
-        if (!c.leader.empty() && w.alive(c.leader)) {
-          missing = {};
-          continue;
-        }
-        if (missing == core::TimePoint{}) missing = now;
-        // The first living label of the partition's preference claims; each later one waits its turn.
-        double wait = c.leader.empty() ? 0.0 : 0.2;
-        for (const auto& label : w.partitions.preference(partition)) {
-          if (label == w.settings.label) break;
-          wait += w.alive(label) ? 3.0 : c.leader.empty() ? 1.5 : 0.3;
-        }
-        if (core::since(missing, now) >= wait) guarantees.push_back({partition, c.leader, {}});
-      }
-    });
-    for (const auto& step : guarantees) co_await acquire(step.partition, step.from);
-    for (const auto& step : returns) co_await transfer(step.partition, step.to);
+    const auto snapshot = state_.with([&](ControllerState& state) { return observe(state, now); });
+    if (!snapshot) continue;
+    const auto decisions = decide_leadership(*snapshot, now);
+    for (const auto& decision : decisions.acquisitions) co_await acquire(decision);
+    for (const auto& decision : decisions.transfers) co_await transfer(decision);
   }
 }
 
