--- a/src/coordination/peer_service.cpp
+++ b/src/coordination/peer_service.cpp
@@ -2,8 +2,6 @@
 
 #include <spdlog/spdlog.h>
 
-#include "peer/messages.hpp"
-
 namespace finchrun::coordination {
 
 namespace {
@@ -11,98 +9,147 @@
 using controller::ControllerState;
 
 constexpr double kPingIntervalS = 1.0;
+constexpr auto kCallLimit = std::chrono::milliseconds(1500);
+// To peers that don't answer each holds a socket for seconds; what is left out comes with the next ping.
+constexpr std::size_t kMaxAnnouncementsInFlight = 32;
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
 
 // Frames are made outside the coroutines: GCC 12 destroys aggregates twice that are temporaries of a
 // co_await.
 std::string ping_frame(const std::string& label, std::uint64_t revision) {
   return peer::encode(peer::Ping{label, revision});
 }
-peer::CancellationNotice cancellation_notice(const ControllerState& w, core::JobId id) {
-  const auto* job = w.cache.job(id);
-  return {w.names.jobs.name(id), boost::json::serialize(jobs::to_json(*job, w.names)), job->revision};
+
+std::string reply_frame(int status, const std::string& body) {
+  return peer::encode(peer::Reply{status, body});
+}
+
+peer::CancellationNotice cancellation_notice(const ControllerState& state, core::JobId id) {
+  const auto* job = state.cache.job(id);
+  return {state.names.jobs.name(id), boost::json::serialize(jobs::to_json(*job, state.names)), job->revision};
+}
+
+// Empty if the job is not known here.
+std::string cancellation_frame(const ControllerState& state, const std::string& job) {
+  const auto id = state.names.jobs.find(job);
+  return id && state.cache.job(*id) ? peer::encode(cancellation_notice(state, *id)) : std::string();
 }
-// A change like any other that the next read would show: taken in ahead of it, as our own commits are.
-void apply_cancellation(ControllerState& w, const peer::CancellationNotice& c) {
+
+// A change like any other that the next read would show: applied ahead of it, as our own commits are.
+void apply_cancellation(ControllerState& state, const peer::CancellationNotice& notice) {
   boost::system::error_code ec;
-  auto record = boost::json::parse(c.record, ec);
-  if (!ec) w.cache.apply({state::keys::job(c.job), std::move(record), c.revision});
+  auto record = boost::json::parse(notice.record, ec);
+  if (!ec) state.cache.apply({state::keys::job(notice.job), std::move(record), notice.revision});
 }
-std::string pong_frame(const ControllerState& w, std::uint64_t revision) {
+
+// What the sender of a ping, who has read everything until `revision`, may lack.
+std::string pong_frame(const ControllerState& state, std::uint64_t revision) {
   peer::Pong pong;
-  pong.state_age_s = core::since(w.synchronized_at, core::Steady::now());
-  const auto cancelled = w.cache.cancelled_after(revision);
-  // While it is read anew, our copy may lack what we have told.
-  pong.complete = w.loaded && cancelled.has_value();
+  pong.state_age_s = core::since(state.synchronized_at, core::Steady::now());
+  const auto cancelled = state.cache.cancelled_after(revision);
+  // While it is read anew, our copy may lack what we have confirmed.
+  pong.complete = state.loaded && cancelled.has_value();
   for (const auto id : cancelled.value_or(std::vector<core::JobId>{}))
-    pong.cancelled.push_back(cancellation_notice(w, id));
+    pong.cancelled.push_back(cancellation_notice(state, id));
   return peer::encode(pong);
 }
-std::string reply_frame(int status, const std::string& body) {
-  return peer::encode(peer::Reply{status, body});
-}
 
-}  // namespace
+// `asked` is when the ping was sent: a cancellation that was confirmed later need not be in the answer.
+void apply_pong(ControllerState& state, std::size_t peer, const peer::Pong& pong, core::TimePoint asked) {
+  for (const auto& notice : pong.cancelled) apply_cancellation(state, notice);
+  if (!pong.complete) return;
+  auto& confirmed_at = state.cancellations_confirmed_at[peer];
+  confirmed_at = std::max(confirmed_at, asked);
+}
 
-asio::awaitable<void> PeerService::ping(std::size_t peer) {
-  const auto sent = core::Steady::now();
-  const auto revision = state_.with([](ControllerState& w) { return w.cache.revision(); });
-  std::string request = ping_frame(settings_.label, revision);
-  const auto frame = co_await peers_.link(peer).call(std::move(request), std::chrono::milliseconds(1500));
-  const auto message = frame ? peer::decode(*frame) : std::nullopt;
-  if (const auto* pong = message ? std::get_if<peer::Pong>(&*message) : nullptr) {
-    peers_.heard(peer, core::Steady::now(), sent - core::secs(pong->state_age_s));
-    state_.with([&](ControllerState& w) {
-      for (const auto& c : pong->cancelled) apply_cancellation(w, c);
-      if (pong->complete)
-        w.cancellations_confirmed_at[peer] = std::max(w.cancellations_confirmed_at[peer], sent);
-    });
+const char* name_of(peer::DecodeError error) {
+  switch (error) {
+    case peer::DecodeError::other_version:
+      return "other_version";
+    case peer::DecodeError::malformed:
+      return "malformed";
   }
+  return "unknown";
 }
 
+}  // namespace
+
 asio::awaitable<void> PeerService::run() {
   while (true) {
     co_await runtime_.sleep(kPingIntervalS);
-    for (std::size_t i = 0; i < peers_.size(); ++i) runtime_.spawn(ping(i));
+    for (std::size_t peer = 0; peer < peers_.size(); ++peer) runtime_.spawn(ping(peer));
   }
 }
 
+asio::awaitable<void> PeerService::ping(std::size_t peer) {
+  const auto sent = core::Steady::now();
+  const auto revision = state_.with([](ControllerState& state) { return state.cache.revision(); });
+  std::string request = ping_frame(settings_.label, revision);
+  const auto frame = co_await peers_.link(peer).call(std::move(request), kCallLimit);
+  const auto pong = peer::decode_answer<peer::Pong>(frame);
+  note_reachability(peer, pong ? Reachability::reachable : Reachability::unreachable);
+  if (!pong) co_return;
+  peers_.heard(peer, core::Steady::now(), sent - core::secs(pong->state_age_s));
+  state_.with([&](ControllerState& state) { apply_pong(state, peer, *pong, sent); });
+}
+
+void PeerService::note_reachability(std::size_t peer, Reachability now) {
+  if (reachability_[peer] == now) return;
+  reachability_[peer] = now;
+  spdlog::debug("peer {} peer={}", now == Reachability::reachable ? "reachable" : "unreachable",
+                peer < settings_.members.size() ? settings_.members[peer].label : std::to_string(peer));
+}
+
 asio::awaitable<std::string> PeerService::handle(std::string frame) {
-  const auto message = peer::decode(frame);
-  if (const auto* ping = message ? std::get_if<peer::Ping>(&*message) : nullptr)
-    co_return state_.with([&](ControllerState& w) { return pong_frame(w, ping->revision); });
-  if (const auto* relay = message ? std::get_if<peer::HeartbeatRelay>(&*message) : nullptr) {
-    const auto response = handle_heartbeat_(relay->heartbeat);
-    co_return reply_frame(response.status, response.body);
-  }
-  if (const auto* call = message ? std::get_if<peer::StoreRequest>(&*message) : nullptr) {
-    const auto verb = call->post ? http::Verb::post : http::Verb::get;
-    const auto answer = co_await store_.forward(verb, call->target, call->body);
-    co_return reply_frame(answer.status, answer.body);
+  auto message = peer::decode(frame);
+  if (!message) {
+    spdlog::debug("peer frame rejected reason={} bytes={}", name_of(message.error()), frame.size());
+    co_return reply_frame(kBadRequest, "");
   }
-  if (const auto* notice = message ? std::get_if<peer::CancellationNotice>(&*message) : nullptr) {
-    state_.with([&](ControllerState& w) { apply_cancellation(w, *notice); });
-    co_return reply_frame(200, "");
-  }
-  co_return reply_frame(400, "");
+  auto reply = std::visit([this](auto& request) { return answer(std::move(request)); }, *message);
+  co_return co_await std::move(reply);
 }
 
-// A help on top of the bound on old news, never instead of it: a leader that the key-value store refuses
-// would else go on with the job's tasks until its next read, and start others of them.
-void PeerService::announce_cancellation(const std::string& id) {
-  const auto frame = state_.with([&](ControllerState& w) {
-    const auto known = w.names.jobs.find(id);
-    return known && w.cache.job(*known) ? peer::encode(cancellation_notice(w, *known)) : std::string();
-  });
-  // To peers that don't answer each holds a socket for seconds; what is left out comes with the next ping.
-  constexpr std::size_t kMostInFlight = 32;
-  if (frame.empty() || announcements_in_flight_ >= kMostInFlight) return;
-  for (std::size_t i = 0; i < peers_.size(); ++i) runtime_.spawn(announce(i, frame));
+asio::awaitable<std::string> PeerService::answer(peer::Ping ping) {
+  co_return state_.with([&](ControllerState& state) { return pong_frame(state, ping.revision); });
+}
+
+asio::awaitable<std::string> PeerService::answer(peer::HeartbeatRelay relay) {
+  const auto response = handle_heartbeat_(relay.heartbeat);
+  co_return reply_frame(response.status, response.body);
+}
+
+asio::awaitable<std::string> PeerService::answer(peer::StoreRequest request) {
+  const auto verb = request.post ? http::Verb::post : http::Verb::get;
+  const auto response = co_await store_.forward(verb, request.target, request.body);
+  co_return reply_frame(response.status, response.body);
+}
+
+asio::awaitable<std::string> PeerService::answer(peer::CancellationNotice notice) {
+  state_.with([&](ControllerState& state) { apply_cancellation(state, notice); });
+  co_return reply_frame(kOk, "");
+}
+
+// These two are answers, never requests.
+asio::awaitable<std::string> PeerService::answer(peer::Pong) { co_return reply_frame(kBadRequest, ""); }
+asio::awaitable<std::string> PeerService::answer(peer::Reply) { co_return reply_frame(kBadRequest, ""); }
+
+// A help on top of the bound on the age of what is known, never instead of it: a leader that the key-value
+// store refuses would else go on with the job's tasks until its next read, and start others of them.
+void PeerService::announce_cancellation(const std::string& job) {
+  const auto frame = state_.with([&](ControllerState& state) { return cancellation_frame(state, job); });
+  if (frame.empty()) return;
+  if (announcements_.count() >= kMaxAnnouncementsInFlight) {
+    spdlog::debug("cancellation not announced job={} reason=announcements_in_flight", job);
+    return;
+  }
+  for (std::size_t peer = 0; peer < peers_.size(); ++peer) runtime_.spawn(announce(peer, frame));
 }
 
 asio::awaitable<void> PeerService::announce(std::size_t peer, std::string frame) {
-  ++announcements_in_flight_;
-  co_await peers_.link(peer).call(std::move(frame), std::chrono::milliseconds(1500));
-  --announcements_in_flight_;
+  const auto place = announcements_.take();
+  co_await peers_.link(peer).call(std::move(frame), kCallLimit);
 }
 
 }  // namespace finchrun::coordination
--- a/src/coordination/peer_service.hpp
+++ b/src/coordination/peer_service.hpp
@@ -1,14 +1,17 @@
-// What this controller says to the others, and how it answers them: pings, cancellations, relayed heartbeats
+// What this controller sends to the others, and how it answers them: pings, cancellations, relayed heartbeats
 // and relayed requests to the key-value store.
 #pragma once
 
 #include <functional>
 #include <string>
+#include <vector>
 
 #include "controller/controller_state.hpp"
 #include "controller/runtime.hpp"
 #include "coordination/peer_table.hpp"
 #include "http/server.hpp"
+#include "peer/in_flight.hpp"
+#include "peer/messages.hpp"
 #include "state/key_value_store.hpp"
 
 namespace finchrun::coordination {
@@ -28,19 +31,32 @@
         store_(store),
         peers_(peers),
         settings_(settings),
-        handle_heartbeat_(std::move(handle_heartbeat)) {}
+        handle_heartbeat_(std::move(handle_heartbeat)),
+        reachability_(peers.size(), Reachability::unknown) {}
 
   /// Pings every other controller about once a second, until the process ends.
   asio::awaitable<void> run();
-  /// Answers a frame of another controller; one that it doesn't know, with status 400.
+  /// Answers a frame of another controller. One that can't be read, or is no request, is answered with status
+  /// 400 rather than dropped: a sender of another version must not take us for unreachable.
   asio::awaitable<std::string> handle(std::string frame);
-  /// Tells the other controllers of a cancellation that its user is about to be told of. Best effort: a frame
-  /// may be lost, and rule `ran_cancelled` rests on leases that run out, not on this.
+  /// Sends the other controllers a cancellation that is about to be confirmed to its user. Best effort: a
+  /// frame may be lost, and rule `ran_cancelled` rests on leases that expire, not on this.
   void announce_cancellation(const std::string& job);
 
  private:
+  enum class Reachability { unknown, reachable, unreachable };
+
   asio::awaitable<void> ping(std::size_t peer);
   asio::awaitable<void> announce(std::size_t peer, std::string frame);
+  void note_reachability(std::size_t peer, Reachability now);
+
+  // The answer to each type of message, as a frame.
+  asio::awaitable<std::string> answer(peer::Ping ping);
+  asio::awaitable<std::string> answer(peer::HeartbeatRelay relay);
+  asio::awaitable<std::string> answer(peer::StoreRequest request);
+  asio::awaitable<std::string> answer(peer::CancellationNotice notice);
+  asio::awaitable<std::string> answer(peer::Pong unexpected);
+  asio::awaitable<std::string> answer(peer::Reply unexpected);
 
   controller::Runtime& runtime_;
   controller::SharedState& state_;
@@ -48,7 +64,8 @@
   PeerTable& peers_;
   const config::Settings& settings_;
   HeartbeatHandler handle_heartbeat_;
-  std::size_t announcements_in_flight_ = 0;
+  peer::InFlightCounter announcements_;
+  std::vector<Reachability> reachability_;  // by peer, for the log alone
 };
 
 }  // namespace finchrun::coordination
--- a/src/coordination/peer_table.cpp
+++ b/src/coordination/peer_table.cpp
@@ -5,7 +5,7 @@
 namespace finchrun::coordination {
 namespace {
 
-constexpr double kFreshStateS = 2.0;  // a peer whose view is older is no help
+constexpr double kFreshStateS = 2.0;  // a peer whose view is older may have lost the store as well
 constexpr int kServiceUnavailable = 503;
 
 // Made outside the coroutine: GCC 12 destroys aggregates twice that are temporaries of a co_await.
@@ -22,23 +22,23 @@
 
 std::optional<std::size_t> PeerTable::in_touch_with_store() const {
   const auto now = core::Steady::now();
-  for (std::size_t i = 0; i < links_.size(); ++i)
-    if (core::since(state_seen_at_[i], now) < kFreshStateS) return i;
+  for (std::size_t peer = 0; peer < links_.size(); ++peer)
+    if (core::since(state_seen_at_[peer], now) < kFreshStateS) return peer;
   return std::nullopt;
 }
 
 bool PeerTable::any_heard_within(double seconds, core::TimePoint now) const {
   return std::any_of(heard_at_.begin(), heard_at_.end(),
-                     [&](core::TimePoint t) { return core::since(t, now) < seconds; });
+                     [&](core::TimePoint heard) { return core::since(heard, now) < seconds; });
 }
 
 asio::awaitable<http::Answer> PeerRelay::call(http::Verb verb, std::string target, std::string body,
                                               std::chrono::milliseconds limit) {
   const auto peer = peers_.in_touch_with_store();
   if (!peer) {
-    http::Answer nobody;
-    nobody.status = kServiceUnavailable;
-    co_return nobody;
+    http::Answer not_sent;
+    not_sent.status = kServiceUnavailable;
+    co_return not_sent;
   }
   std::string request = store_request_frame(verb == http::Verb::post, target, body);
   const auto frame = co_await peers_.link(*peer).call(std::move(request), limit);
@@ -46,8 +46,7 @@
 }
 
 http::Answer read_relayed_response(const std::optional<std::string>& frame) {
-  const auto message = frame ? peer::decode(*frame) : std::nullopt;
-  const auto* reply = message ? std::get_if<peer::Reply>(&*message) : nullptr;
+  const auto reply = peer::decode_answer<peer::Reply>(frame);
   return reply ? http::Answer{reply->status, reply->body} : http::Answer{};
 }
 
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -11,6 +11,7 @@
 #include <boost/endian/conversion.hpp>
 
 #include "http/exchange.hpp"
+#include "peer/in_flight.hpp"
 #include "peer/messages.hpp"
 
 namespace finchrun::peer {
@@ -19,112 +20,133 @@
 using tcp = asio::ip::tcp;
 using http::Code;
 using http::Socket;
-constexpr std::size_t kKeep = 3;
-constexpr std::size_t kHead = 4;
-constexpr auto kIdle = std::chrono::seconds(60);
-constexpr auto kWrite = std::chrono::seconds(5);
 
-asio::awaitable<bool> write_frame(Socket& socket, std::string frame) {
-  std::string bytes(kHead, '\0');
+constexpr std::size_t kMaxIdleConnections = 3;  // to one controller
+constexpr std::size_t kSizeBytes = 4;           // that a frame's size takes
+constexpr std::size_t kReadChunkBytes = 4096;
+constexpr auto kIdleTimeout = std::chrono::seconds(60);
+constexpr auto kWriteTimeout = std::chrono::seconds(5);
+constexpr auto kServerDeadlineTick = std::chrono::seconds(2);
+constexpr auto kAcceptPause = std::chrono::milliseconds(50);  // after a failure, or above the limit
+
+std::string with_size(const std::string& frame) {
+  std::string bytes(kSizeBytes, '\0');
   boost::endian::store_big_u32(reinterpret_cast<unsigned char*>(bytes.data()),
                                static_cast<std::uint32_t>(frame.size()));
-  bytes += frame;
-  for (std::size_t at = 0; at < bytes.size();) {
+  return bytes + frame;
+}
+
+// The frame's size in its first bytes; nothing until those have come.
+std::optional<std::size_t> announced_size(const std::string& bytes) {
+  if (bytes.size() < kSizeBytes) return std::nullopt;
+  return boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(bytes.data()));
+}
+
+void prepare(Socket& socket) {
+  Code ignored;  // a socket that is broken shows it in the first read or write
+  socket.set_option(tcp::no_delay(true), ignored);
+  socket.non_blocking(true, ignored);
+}
+
+// False: the connection is of no more use.
+asio::awaitable<bool> write_frame(Socket& socket, std::string frame) {
+  const std::string bytes = with_size(frame);
+  for (std::size_t written = 0; written < bytes.size();) {
     Code ec;
-    at += socket.write_some(asio::buffer(bytes.data() + at, bytes.size() - at), ec);
+    written += socket.write_some(asio::buffer(bytes.data() + written, bytes.size() - written), ec);
     if (ec == asio::error::would_block) ec = co_await http::wait_for(socket, Socket::wait_write);
     if (ec) co_return false;
   }
   co_return true;
 }
 
-// One exchange at a time is under way on a connection, so a frame's bytes are all that comes.
+// Nothing: the connection is of no more use. One exchange at a time is under way on a connection, so a
+// frame's bytes are all that comes.
 asio::awaitable<std::optional<std::string>> read_frame(Socket& socket) {
   std::string bytes;
-  std::array<char, 4096> chunk;
+  std::array<char, kReadChunkBytes> chunk;
   std::optional<std::size_t> size;
-  while (!size || bytes.size() < kHead + *size) {
+  while (!size || bytes.size() < kSizeBytes + *size) {
     if (const Code ec = co_await http::wait_for(socket, Socket::wait_read)) co_return std::nullopt;
     Code ec;
-    const auto n = socket.read_some(asio::buffer(chunk), ec);
+    const auto count = socket.read_some(asio::buffer(chunk), ec);
     if (ec && ec != asio::error::would_block) co_return std::nullopt;
-    bytes.append(chunk.data(), n);
-    if (!size && bytes.size() >= kHead) {
-      size = boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(bytes.data()));
-      if (*size > kMaxFrame) co_return std::nullopt;  // not one of ours
-    }
+    bytes.append(chunk.data(), count);
+    size = announced_size(bytes);
+    if (size && *size > kMaxFrame) co_return std::nullopt;  // not one of ours
   }
-  if (bytes.size() > kHead + *size) co_return std::nullopt;
-  co_return bytes.substr(kHead);
+  if (bytes.size() > kSizeBytes + *size) co_return std::nullopt;
+  co_return bytes.substr(kSizeBytes);
 }
 
-asio::awaitable<void> session(Socket socket, std::shared_ptr<FrameHandler> handler, std::shared_ptr<int> open,
-                              std::shared_ptr<core::Deadlines> deadlines) {
-  struct Count {
-    std::shared_ptr<int> n;
-    ~Count() { --*n; }
-  } count{open};
-  Code ignored;
-  socket.set_option(tcp::no_delay(true), ignored);
-  socket.non_blocking(true, ignored);
-  core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kIdle);
+// Answers the frames of one connection, one after the other.
+asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<FrameHandler> handler,
+                                       [[maybe_unused]] InFlightCounter::Place place,
+                                       std::shared_ptr<core::Deadlines> deadlines) {
+  prepare(socket);
+  core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kIdleTimeout);
   while (true) {
-    guard.move_to(core::Steady::now() + kIdle);
+    guard.move_to(core::Steady::now() + kIdleTimeout);
     auto frame = co_await read_frame(socket);
     if (!frame) co_return;
     guard.move_to(core::TimePoint::max());  // handlers have deadlines of their own
     std::string answer = co_await (*handler)(std::move(*frame));
-    guard.move_to(core::Steady::now() + kWrite);
+    guard.move_to(core::Steady::now() + kWriteTimeout);
     if (!co_await write_frame(socket, std::move(answer))) co_return;
   }
 }
 
+asio::awaitable<bool> connect(Socket& socket, const config::Endpoint& to) {
+  Code ec;
+  const tcp::endpoint endpoint(asio::ip::make_address_v4(to.host), to.port);
+  co_await socket.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, ec));
+  if (ec) co_return false;
+  prepare(socket);
+  co_return true;
+}
+
 }  // namespace
 
+std::unique_ptr<Socket> TcpLink::take_idle() {
+  if (idle_.empty()) return nullptr;
+  auto socket = std::move(idle_.back());
+  idle_.pop_back();
+  return socket;
+}
+
 asio::awaitable<std::optional<std::string>> TcpLink::call(std::string frame,
                                                           std::chrono::milliseconds limit) {
-  std::unique_ptr<Socket> socket;
-  const bool reused = !idle_.empty();
-  if (reused) {
-    socket = std::move(idle_.back());
-    idle_.pop_back();
-  } else {
-    socket = std::make_unique<Socket>(executor_);
-  }
+  auto socket = take_idle();
+  const bool connected = socket != nullptr;
+  if (!connected) socket = std::make_unique<Socket>(executor_);
   const core::Deadlines::Guard guard(deadlines_, *socket, core::Steady::now() + limit);
-  if (!reused) {
-    Code ec;
-    const tcp::endpoint to(asio::ip::make_address_v4(to_.host), to_.port);
-    co_await socket->async_connect(to, asio::redirect_error(asio::use_awaitable, ec));
-    if (ec) co_return std::nullopt;
-    socket->set_option(tcp::no_delay(true), ec);
-    socket->non_blocking(true, ec);
-  }
+  if (!connected && !co_await connect(*socket, to_)) co_return std::nullopt;
   if (!co_await write_frame(*socket, std::move(frame))) co_return std::nullopt;
   auto answer = co_await read_frame(*socket);
-  if (answer && idle_.size() < kKeep && socket->is_open()) idle_.push_back(std::move(socket));
+  if (answer && idle_.size() < kMaxIdleConnections && socket->is_open()) idle_.push_back(std::move(socket));
   co_return answer;
 }
 
 asio::awaitable<void> serve(config::Endpoint at, FrameHandler handler, int max_connections) {
   auto executor = co_await asio::this_coro::executor;
   tcp::acceptor acceptor(executor, tcp::endpoint(asio::ip::make_address_v4(at.host), at.port));
-  auto shared = std::make_shared<FrameHandler>(std::move(handler));
-  auto open = std::make_shared<int>(0);
-  auto deadlines = std::make_shared<core::Deadlines>(executor, std::chrono::seconds(2));
-  boost::system::error_code ec;
+  auto shared_handler = std::make_shared<FrameHandler>(std::move(handler));
+  InFlightCounter connections;
+  auto deadlines = std::make_shared<core::Deadlines>(executor, kServerDeadlineTick);
+  Code ec;
   while (true) {
-    tcp::socket socket(executor);
+    Socket socket(executor);
     co_await acceptor.async_accept(socket, asio::redirect_error(asio::use_awaitable, ec));
     if (ec == asio::error::operation_aborted) co_return;
-    if (ec || *open >= max_connections) {
+    if (ec || connections.count() >= static_cast<std::size_t>(max_connections)) {
       socket.close(ec);
-      asio::steady_timer pause(executor, std::chrono::milliseconds(50));
+      asio::steady_timer pause(executor, kAcceptPause);
       co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
       continue;
     }
-    ++*open;
-    asio::co_spawn(executor, session(std::move(socket), shared, open, deadlines), asio::detached);
+    asio::co_spawn(executor,
+                   serve_connection(std::move(socket), shared_handler, connections.take(), deadlines),
+                   asio::detached);
   }
 }
 
--- a/src/peer/link.hpp
+++ b/src/peer/link.hpp
@@ -1,4 +1,4 @@
-// Frames between controllers over TCP: a 4-byte length, then the message.
+// Frames between controllers over TCP: the frame's size in 4 bytes, big-endian, then the frame.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,30 +18,42 @@
 
 namespace asio = boost::asio;
 
+/// The way to one other controller. Tests put a simulated network in its place.
 class Link {
  public:
   virtual ~Link() = default;
-  // Nothing: no answer; the request might have been carried out.
+  /// Sends a frame and returns the answer's. Nothing: no answer within `limit`, and the request might have
+  /// been carried out, or might still be.
   virtual asio::awaitable<std::optional<std::string>> call(std::string frame,
                                                            std::chrono::milliseconds limit) = 0;
 };
 
-// Keeps a few connections to one member; calls don't wait for each other.
+/// A link over TCP, with one request at a time on a connection: calls don't wait for each other, each takes
+/// an idle connection or opens one. A few are kept open for the next calls.
 class TcpLink : public Link {
  public:
+  /// `deadlines` closes the sockets of calls that have reached their limit.
   TcpLink(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor, config::Endpoint to)
       : deadlines_(std::move(deadlines)), executor_(std::move(executor)), to_(std::move(to)) {}
   asio::awaitable<std::optional<std::string>> call(std::string frame,
                                                    std::chrono::milliseconds limit) override;
 
  private:
+  using Socket = asio::ip::tcp::socket;
+  // Null if none is idle.
+  std::unique_ptr<Socket> take_idle();
+
   std::shared_ptr<core::Deadlines> deadlines_;
   asio::any_io_executor executor_;
   config::Endpoint to_;
-  std::vector<std::unique_ptr<asio::ip::tcp::socket>> idle_;
+  std::vector<std::unique_ptr<Socket>> idle_;
 };
 
+/// Takes a frame and returns the answer's. One that throws ends the connection without an answer.
 using FrameHandler = std::function<asio::awaitable<std::string>(std::string)>;
+
+/// Answers the frames of other controllers, until the event loop ends. Throws if the address can't be bound.
+/// Connections above `max_connections` are closed at once.
 asio::awaitable<void> serve(config::Endpoint at, FrameHandler handler, int max_connections);
 
 }  // namespace finchrun::peer
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -1,98 +1,89 @@
-// What controllers say to each other: cereal, versioned, one request and one answer a frame.
+// What controllers say to each other: one request and one answer a frame.
+//
+// Frames are part of the interface between two versions during an upgrade, so they stay as they are byte for
+// byte: the fields and their order, the order of the messages in `Message`, and the version. A message that
+// is added goes to the end, and only to members whose record says that they know it.
 #pragma once
 
-#include <cereal/archives/portable_binary.hpp>
-#include <cereal/types/string.hpp>
-#include <cereal/types/variant.hpp>
-#include <cereal/types/vector.hpp>
+#include <boost/system/result.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <optional>
-#include <sstream>
 #include <string>
 #include <variant>
 #include <vector>
 
 namespace finchrun::peer {
 
+/// Every frame starts with it. A controller answers the frames of another version with status 400.
 inline constexpr std::uint32_t kVersion = 2;
+/// In bytes, without its length. A longer one is none of ours, and the connection is closed.
 inline constexpr std::size_t kMaxFrame = 4 * 1024 * 1024;
 
-// Asks how the other gets on with the key-value store, and for the cancellations that it knows.
+/// Sent by every controller to every other one about once a second; answered with `Pong`. Asks how the other
+/// gets on with the key-value store, and for the cancellations that it knows.
 struct Ping {
-  std::string label;
-  std::uint64_t revision = 0;  // everything until then the sender has read
-  template <class A>
-  void serialize(A& a) {
-    a(label, revision);
-  }
+  std::string label;           ///< of the sender
+  std::uint64_t revision = 0;  ///< the sender has read all of the store's changes until then
 };
-// A job that is recorded as cancelled: its record, and the revision of the change.
+
+/// A job that is recorded as cancelled. Sent to all others by the controller that is about to confirm the
+/// cancellation to its user, and within `Pong`. By itself answered with `Reply` 200; nothing rests on its
+/// arrival.
 struct CancellationNotice {
-  std::string job, record;
-  std::uint64_t revision = 0;
-  template <class A>
-  void serialize(A& a) {
-    a(job, record, revision);
-  }
+  std::string job;             ///< name
+  std::string record;          ///< JSON, as in the store
+  std::uint64_t revision = 0;  ///< of the change
 };
+
+/// The answer to `Ping`. Rule `ran_cancelled` rests on `complete`: leases are renewed while all controllers
+/// answer completely, also when the store does not.
 struct Pong {
-  double state_age_s = 0;  // since its newest answered read of the store's changes was sent
-  // With what the other has read, `cancelled` names every job that this process, or an earlier one of its
-  // label, has told any user to be cancelled.
+  double state_age_s = 0;  ///< since the sender's newest answered read of the store's changes was sent
+  /// With what the other has read, `cancelled` names every job that this process, or an earlier one of its
+  /// label, has confirmed to any user as cancelled.
   bool complete = false;
   std::vector<CancellationNotice> cancelled;
-  template <class A>
-  void serialize(A& a) {
-    a(state_age_s, complete, cancelled);
-  }
 };
-// A agent's report that reached a controller which doesn't own its partition.
+
+/// An agent's heartbeat, sent to the leader of the agent's partition by the controller that received it: the
+/// agent can't reach its leader. Answered with `Reply`: what the leader answers the agent.
 struct HeartbeatRelay {
-  std::string heartbeat;
-  template <class A>
-  void serialize(A& a) {
-    a(heartbeat);
-  }
+  std::string heartbeat;  ///< its body, as the agent sent it
 };
-// A request to the key-value store by a controller that it refuses.
+
+/// A request to the key-value store, sent by a controller that the store refuses or doesn't answer to one
+/// with a fresh view of the store. Answered with `Reply`: the store's response, status 0 if none came.
 struct StoreRequest {
-  bool post = false;
+  bool post = false;  ///< else a GET
   std::string target, body;
-  template <class A>
-  void serialize(A& a) {
-    a(post, target, body);
-  }
 };
+
+/// An HTTP response, in answer to everything but `Ping`. Status 400: not a request, or not understood.
 struct Reply {
   std::int32_t status = 0;
   std::string body;
-  template <class A>
-  void serialize(A& a) {
-    a(status, body);
-  }
 };
+
 using Message = std::variant<Ping, Pong, HeartbeatRelay, StoreRequest, Reply, CancellationNotice>;
 
-inline std::string encode(const Message& m) {
-  std::ostringstream out;
-  cereal::PortableBinaryOutputArchive archive(out);
-  archive(kVersion, m);
-  return std::move(out).str();
-}
-// Nothing for another version's message or one that makes no sense.
-inline std::optional<Message> decode(const std::string& frame) {
-  try {
-    std::istringstream in(frame);
-    cereal::PortableBinaryInputArchive archive(in);
-    std::uint32_t version = 0;
-    archive(version);
-    if (version != kVersion) return std::nullopt;
-    Message m;
-    archive(m);
-    return m;
-  } catch (const std::exception&) {  // cereal's own, or an absurd length
-    return std::nullopt;
-  }
+enum class DecodeError {
+  other_version,  ///< another version's frame: its message is not looked at
+  malformed,      ///< cut short, an unknown message, or not a frame at all
+};
+
+std::string encode(const Message& message);
+/// Never throws, whatever the frame holds.
+boost::system::result<Message, DecodeError> decode(const std::string& frame);
+
+/// The message in the answer to a request; nothing if no answer came, or one of another type.
+template <class Expected>
+std::optional<Expected> decode_answer(const std::optional<std::string>& frame) {
+  if (!frame) return std::nullopt;
+  auto message = decode(*frame);
+  auto* expected = message ? std::get_if<Expected>(&*message) : nullptr;
+  if (!expected) return std::nullopt;
+  return std::move(*expected);
 }
 
 }  // namespace finchrun::peer
--- /dev/null
+++ b/tests/coordination/peer_table_test.cpp
@@ -0,0 +1,109 @@
+#include "coordination/peer_table.hpp"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/io_context.hpp>
+
+#include "peer/messages.hpp"
+
+namespace finchrun::coordination {
+namespace {
+
+using std::chrono::milliseconds;
+
+core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
+
+// Answers every frame with the same one, and keeps the last that it was sent.
+struct FixedLink : peer::Link {
+  asio::awaitable<std::optional<std::string>> call(std::string frame, milliseconds) override {
+    sent = std::move(frame);
+    co_return answer;
+  }
+  std::optional<std::string> sent, answer;
+};
+
+class PeerTableTest : public testing::Test {
+ protected:
+  PeerTableTest() { core::Steady::simulate(at(1000)); }
+  ~PeerTableTest() override { core::Steady::simulate(std::nullopt); }
+
+  static std::vector<std::unique_ptr<peer::Link>> make_links(std::vector<FixedLink*>& fixed) {
+    std::vector<std::unique_ptr<peer::Link>> links;
+    for (int peer = 0; peer < 2; ++peer) {
+      auto link = std::make_unique<FixedLink>();
+      fixed.push_back(link.get());
+      links.push_back(std::move(link));
+    }
+    return links;
+  }
+  http::Answer relay() {
+    asio::io_context io{1};
+    PeerRelay relay(peers);
+    http::Answer result{-1, "not run"};
+    asio::co_spawn(
+        io,
+        [&]() -> asio::awaitable<void> {
+          result = co_await relay.call(http::Verb::post, "/commit", "{}", milliseconds(1000));
+        },
+        asio::detached);
+    io.run();
+    return result;
+  }
+
+  std::vector<FixedLink*> links;
+  PeerTable peers{make_links(links)};
+};
+
+TEST_F(PeerTableTest, RelaysToThePeerWithAFreshView) {
+  peers.heard(0, at(1000), at(997.9));
+  peers.heard(1, at(1000), at(998.1));
+  links[1]->answer = peer::encode(peer::Reply{200, "done"});
+  const auto response = relay();
+  EXPECT_EQ(response.status, 200);
+  EXPECT_EQ(response.body, "done");
+  EXPECT_FALSE(links[0]->sent);
+  ASSERT_TRUE(links[1]->sent);
+  EXPECT_EQ(*links[1]->sent, peer::encode(peer::StoreRequest{true, "/commit", "{}"}));
+}
+
+// Certainly not carried out, which 503 says and no answer would leave open.
+TEST_F(PeerTableTest, AnswersUnavailableWithoutSendingWhenNobodyIsInTouch) {
+  peers.heard(0, at(1000), at(997.9));
+  EXPECT_EQ(relay().status, 503);
+  EXPECT_FALSE(links[0]->sent);
+  EXPECT_FALSE(links[1]->sent);
+}
+
+TEST_F(PeerTableTest, LostAnswerLeavesOpenWhatHappened) {
+  peers.heard(0, at(1000), at(1000));
+  EXPECT_EQ(relay().status, 0);
+  EXPECT_TRUE(links[0]->sent);
+}
+
+TEST_F(PeerTableTest, ViewAgesUntilThePeerAnswersAgain) {
+  peers.heard(1, at(1000), at(1000));
+  core::Steady::simulate(at(1001.9));
+  EXPECT_EQ(peers.in_touch_with_store(), 1u);
+  core::Steady::simulate(at(1002.1));
+  EXPECT_EQ(peers.in_touch_with_store(), std::nullopt);
+}
+
+// Answers may arrive in another order than they were asked for.
+TEST_F(PeerTableTest, OlderViewDoesNotReplaceANewerOne) {
+  peers.heard(0, at(1000), at(999.5));
+  peers.heard(0, at(1000), at(990));
+  EXPECT_EQ(peers.in_touch_with_store(), 0u);
+}
+
+TEST_F(PeerTableTest, HearsOfPeersThatAreOutOfTouchWithTheStore) {
+  EXPECT_FALSE(peers.any_heard_within(3, at(1000)));
+  peers.heard(1, at(1000), at(900));
+  EXPECT_TRUE(peers.any_heard_within(3, at(1002.9)));
+  EXPECT_FALSE(peers.any_heard_within(3, at(1003.1)));
+  EXPECT_EQ(peers.in_touch_with_store(), std::nullopt);
+}
+
+}  // namespace
+}  // namespace finchrun::coordination
--- /dev/null
+++ b/tests/peer/in_flight_test.cpp
@@ -0,0 +1,30 @@
+#include "peer/in_flight.hpp"
+
+#include <gtest/gtest.h>
+
+#include <optional>
+
+namespace finchrun::peer {
+namespace {
+
+TEST(InFlightCounter, CountsPlacesUntilTheyAreDestroyed) {
+  InFlightCounter counter;
+  {
+    const auto first = counter.take();
+    auto second = counter.take();
+    EXPECT_EQ(counter.count(), 2u);
+    const auto moved = std::move(second);
+    EXPECT_EQ(counter.count(), 2u);
+  }
+  EXPECT_EQ(counter.count(), 0u);
+}
+
+// As coroutines do that are destroyed with the event loop, after the component that started them.
+TEST(InFlightCounter, PlaceMayOutliveTheCounter) {
+  std::optional<InFlightCounter> counter(std::in_place);
+  const auto place = counter->take();
+  counter.reset();
+}
+
+}  // namespace
+}  // namespace finchrun::peer
--- a/tests/peer/messages_test.cpp
+++ b/tests/peer/messages_test.cpp
@@ -66,13 +66,46 @@
                             frame(5, text("req-1") + text("{}") + number(41))}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(PeerMessages, WhatMakesNoSenseIsNoMessage) {
-  auto cut = encode(Reply{200, "body"});
-  cut.resize(cut.size() - 3);
-  auto other = encode(Reply{200, "body"});
-  other[1] = 9;  // the version
-  for (const std::string& frame : {std::string(), std::string("x"), std::string(64, '\xff'), cut, other})
-    EXPECT_FALSE(decode(frame)) << frame.size();
+std::string cut_short() {
+  auto frame = encode(Reply{200, "body"});
+  frame.resize(frame.size() - 3);
+  return frame;
+}
+std::string of_version(char version) {
+  auto frame = encode(Reply{200, "body"});
+  frame[1] = version;
+  return frame;
+}
+struct Unreadable {
+  const char* name;
+  std::string frame;
+  DecodeError error;
+};
+class UnreadableFrame : public testing::TestWithParam<Unreadable> {};
+TEST_P(UnreadableFrame, IsNoMessageAndNoAnswer) {
+  const auto message = decode(GetParam().frame);
+  ASSERT_FALSE(message);
+  EXPECT_EQ(message.error(), GetParam().error);
+  EXPECT_FALSE(decode_answer<Reply>(GetParam().frame));
+}
+INSTANTIATE_TEST_SUITE_P(
+    Table, UnreadableFrame,
+    testing::Values(Unreadable{"empty", "", DecodeError::malformed},
+                    Unreadable{"one_letter", "x", DecodeError::malformed},
+                    Unreadable{"all_ones", std::string(64, '\xff'), DecodeError::other_version},
+                    Unreadable{"cut_short", cut_short(), DecodeError::malformed},
+                    Unreadable{"message_without_a_meaning", frame(6, text("field")), DecodeError::malformed},
+                    Unreadable{"absurd_length", frame(2, std::string(8, '\x7f')), DecodeError::malformed},
+                    Unreadable{"version_1", of_version(1), DecodeError::other_version},
+                    Unreadable{"version_9", of_version(9), DecodeError::other_version}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+TEST(PeerMessages, AnswerIsOfTheExpectedTypeOrNothing) {
+  const auto reply = decode_answer<Reply>(encode(Reply{200, "body"}));
+  ASSERT_TRUE(reply);
+  EXPECT_EQ(reply->body, "body");
+  EXPECT_FALSE(decode_answer<Pong>(encode(Reply{400, ""})));
+  EXPECT_FALSE(decode_answer<Pong>(std::nullopt));
 }
 
 }  // namespace
