--- a/src/gateway/agent_commands.hpp
+++ b/src/gateway/agent_commands.hpp
@@ -1,11 +1,11 @@
 // Commands that go straight to agents, and what their answers show.
 #pragma once
 
-#include <optional>
 #include <vector>
 
 #include "controller/controller_state.hpp"
 #include "controller/runtime.hpp"
+#include "gateway/direct_commands.hpp"
 #include "http/transport.hpp"
 
 namespace finchrun::gateway {
@@ -24,16 +24,13 @@
   /// ends.
   asio::awaitable<void> run_probes();
   /// Sends the commands; `starts` are those among them that start tasks. Starts that have become void since
-  /// they were recorded are left out.
+  /// they were recorded are left out. Best effort: what gets no answer stays noted in `Fleet::direct_starts`,
+  /// and heartbeats show what became of it.
   asio::awaitable<void> send(core::MachineId machine, std::vector<wire::Command> commands,
                              std::vector<agent::TaskAttempt> starts);
 
  private:
-  struct Result {
-    int status = 0;                         // 0: no answer
-    std::optional<std::uint64_t> sequence;  // of the answer, if the commands were executed
-  };
-  asio::awaitable<Result> call(core::MachineId machine, const std::vector<wire::Command>& commands);
+  asio::awaitable<CommandAnswer> call(core::MachineId machine, std::vector<wire::Command> commands);
   asio::awaitable<void> probe(core::MachineId machine);
 
   controller::Runtime& runtime_;
--- a/src/gateway/agent_gateway.hpp
+++ b/src/gateway/agent_gateway.hpp
@@ -14,7 +14,8 @@
 
 namespace asio = boost::asio;
 
-/// Handles `POST /hello`.
+/// Handles `POST /hello`. Only the leader of a machine's partition answers its agent with commands, and only
+/// while it knows of all cancellations that any user has been told of (rules `ran_twice`, `ran_cancelled`).
 class AgentGateway {
  public:
   AgentGateway(controller::SharedState& state, coordination::PeerTable& peers,
@@ -23,10 +24,13 @@
 
   /// A heartbeat that an agent sent to this controller: handled here, relayed, or redirected (421).
   asio::awaitable<http::Response> receive(std::string body);
-  /// Handles a heartbeat as the leader of its partition; 421 or 503 if this controller may not.
+  /// Handles a heartbeat as the leader of its partition: 200 with the commands; 421, naming the leader if it
+  /// is known, or 503 if this controller may not; 400 if it is malformed. Also for what peers relay.
   http::Response handle_heartbeat(const std::string& body);
 
  private:
+  // The peer to relay a heartbeat to: the leader of the machine's partition, when the agent seems not to get
+  // there by itself. Nothing if it should go there.
   std::optional<std::size_t> peer_to_relay_to(const std::string& body);
 
   controller::SharedState& state_;
--- a/src/gateway/cancellation_stops.hpp
+++ b/src/gateway/cancellation_stops.hpp
@@ -4,13 +4,16 @@
 #include "controller/controller_state.hpp"
 #include "controller/runtime.hpp"
 #include "gateway/agent_commands.hpp"
+#include "gateway/in_flight.hpp"
 
 namespace finchrun::gateway {
 
 namespace asio = boost::asio;
 
 /// Sends stops for every task of a cancelled job that may still be on a machine, again with back-off until a
-/// heartbeat proves the task gone.
+/// heartbeat proves the task gone. Agents also learn of a cancellation by the answers to their heartbeats; a
+/// direct stop reaches one whose heartbeats reach nobody, and follows a start that is held up on its way,
+/// under the same fencing token.
 class CancellationStops {
  public:
   CancellationStops(controller::Runtime& runtime, controller::SharedState& state, AgentCommands& commands)
@@ -25,7 +28,7 @@
   controller::Runtime& runtime_;
   controller::SharedState& state_;
   AgentCommands& commands_;
-  std::size_t in_flight_ = 0;
+  InFlightCounter in_flight_;
 };
 
 }  // namespace finchrun::gateway
