--- a/src/gateway/router.hpp
+++ b/src/gateway/router.hpp
@@ -11,6 +11,7 @@
  public:
   Router(JobApi& jobs, AgentGateway& agents) : jobs_(jobs), agents_(agents) {}
 
+  /// Answers a request; one that no component handles with 404 or 405.
   asio::awaitable<http::Response> handle(http::Request request);
 
  private:
