--- a/tests/wire/messages_test.cpp
+++ b/tests/wire/messages_test.cpp
@@ -112,6 +112,33 @@
   EXPECT_FALSE(std::get<Submission>(parsed).spec.deadline_s);
 }
 
+// Users and agents see these texts, and the first field that is wrong is named.
+TEST(Malformed, NamesReasonAndField) {
+  const struct {
+    const char* field;
+    const char* value;  // JSON; nullptr: the field is left out
+    const char* why;
+  } submissions[] = {
+      {"nameId", nullptr, "missing field nameId"},      {"nameId", R"("job-1")", "invalid field nameId"},
+      {"shape", R"("service")", "invalid field shape"}, {"urgency", R"("low")", "invalid field urgency"},
+      {"pieces", "0", "field out of range pieces"},     {"pieces", "1.5", "invalid field pieces"},
+      {"ramGb", "-1", "field out of range ramGb"},      {"racks", "[1]", "invalid field racks"},
+      {"together", "1", "invalid field together"},      {"dueS", "-1", "field out of range dueS"}};
+  for (const auto& c : submissions) {
+    auto o = good();
+    o.erase(c.field);
+    if (c.value) o[c.field] = json::parse(c.value);
+    o["flushS"] = nullptr;  // wrong too, and read later than all but `dueS`
+    if (std::string(c.field) == "dueS") o["flushS"] = 4.0;
+    const auto parsed = parse_submission(json::serialize(o));
+    ASSERT_TRUE(std::holds_alternative<Malformed>(parsed)) << c.field;
+    EXPECT_EQ(std::get<Malformed>(parsed).why, c.why);
+  }
+  EXPECT_EQ(std::get<Malformed>(parse_heartbeat("{")).why, "not JSON");
+  EXPECT_EQ(std::get<Malformed>(parse_heartbeat("[]")).why, "not an object");
+  EXPECT_EQ(std::get<Malformed>(parse_heartbeat("{}")).why, "missing field perch");
+}
+
 TEST(Heartbeat, ReadsPieces) {
   auto parsed = parse_heartbeat(R"({"perch":"host-000231","endpoint":"10.1.0.232:9000","rack":"g8","hall":"a",
     "loaners":true,"stint":1,"tick":88,"baton":41,"warningS":12.5,"pieces":[
@@ -137,5 +164,15 @@
     {"verb":"kill","piece":"req-2/1","try":1,"leewayS":10.0},{"verb":"reap","piece":"req-3/0","try":1}]})"));
 }
 
+TEST(Answers, KeepTheirFieldsInTheProtocolsOrder) {
+  EXPECT_EQ(render_status("req-1", "pending"), R"({"nameId":"req-1","status":"pending"})");
+  EXPECT_EQ(render_status("req-1", "running", 2, 3),
+            R"({"nameId":"req-1","status":"running","done":2,"running":3})");
+  EXPECT_EQ(render_redirect("perch-1"), R"({"foreman":"perch-1"})");
+  EXPECT_EQ(render_redirect(std::nullopt), "{}");
+  EXPECT_EQ(render_error("no such job"), R"({"error":"no such job"})");
+  EXPECT_EQ(render_direct_commands(41, 2, {}), R"({"baton":41,"stint":2,"orders":[]})");
+}
+
 }  // namespace
 }  // namespace finchrun::wire
