--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -46,15 +46,17 @@
     http::TcpNetwork network(io.get_executor());
     std::vector<std::unique_ptr<peer::Link>> links;
     auto deadlines = std::make_shared<core::Deadlines>(io.get_executor(), std::chrono::milliseconds(200));
+    links.reserve(settings.members.size());
     for (const auto& m : settings.members)
       links.push_back(std::make_unique<peer::TcpLink>(deadlines, io.get_executor(), m.peer));
     app::Controller controller(io, network, settings, tuning, std::random_device{}(), std::move(links));
     controller.listen();
     controller.start();
-    spdlog::info("started label={} zone={} listen={}", settings.label, settings.zone, settings.listen.text());
+    spdlog::info("controller started label={} zone={} listen={}", settings.label, settings.zone,
+                 settings.listen.text());
     io.run();
   } catch (const std::exception& e) {
-    spdlog::critical("ended: {}", e.what());
+    spdlog::critical("controller ended error=\"{}\"", e.what());
     return 3;
   }
   return 0;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -4,10 +4,13 @@
 #include <Poco/Util/PropertyFileConfiguration.h>
 #include <fmt/format.h>
 
+#include <algorithm>
 #include <boost/asio/ip/address_v4.hpp>
 #include <charconv>
 #include <cmath>
+#include <limits>
 #include <sstream>
+#include <variant>
 
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
@@ -15,60 +18,107 @@
 namespace finchrun::config {
 namespace {
 
-std::string shown(const toml::node_view<const toml::node>& v) {
+using View = toml::node_view<const toml::node>;
+
+constexpr double kUnlimited = std::numeric_limits<double>::infinity();
+
+/// A setting's value for an error line: on one line, and not too long.
+std::string shown(const View& value) {
+  constexpr std::size_t kMostCharacters = 60;
   std::ostringstream out;
-  if (v) {
-    v.visit([&](const auto& n) { out << n; });
+  if (value) {
+    value.visit([&](const auto& node) { out << node; });
   } else {
     out << "(missing)";
   }
-  std::string s = out.str();
-  for (char& c : s)
-    if (c == '\n') c = ' ';
-  return s.size() > 60 ? s.substr(0, 60) + "..." : s;
+  std::string text = out.str();
+  std::replace(text.begin(), text.end(), '\n', ' ');
+  return text.size() > kMostCharacters ? text.substr(0, kMostCharacters) + "..." : text;
 }
 
-using View = toml::node_view<const toml::node>;
+// `where`, here and below: the table's path with a dot at its end, for error lines.
+std::string need_string(View table, const char* key, const std::string& where) {
+  auto value = table[key].value_exact<std::string>();
+  if (!value || value->empty()) throw SettingsError(where + key, shown(table[key]), "a name is needed");
+  return *value;
+}
 
-std::string need_string(View t, const char* key, const std::string& where) {
-  auto v = t[key].value_exact<std::string>();
-  if (!v || v->empty()) throw SettingsError(where + key, shown(t[key]), "a name is needed");
-  return *v;
+double number(View table, const char* key, const std::string& where, double fallback, double least,
+              double most) {
+  if (!table[key]) return fallback;
+  auto value = table[key].value<double>();
+  if (!value || !std::isfinite(*value) || *value < least || *value > most || !table[key].is_number())
+    throw SettingsError(where + key, shown(table[key]), "a number in range is needed");
+  return *value;
 }
 
-double number(View t, const char* key, const std::string& where, double fallback, double least, double most) {
-  if (!t[key]) return fallback;
-  auto v = t[key].value<double>();
-  if (!v || !std::isfinite(*v) || *v < least || *v > most || !t[key].is_number())
-    throw SettingsError(where + key, shown(t[key]), "a number in range is needed");
-  return *v;
+/// A number of one table that goes into a field as it is; its default is the field's initializer.
+template <class Into>
+struct NumberField {
+  const char* key;
+  double Into::*field;
+  double least, most;
+};
+
+template <class Into, std::size_t count>
+void read_numbers(View table, const std::string& where, const NumberField<Into> (&fields)[count],
+                  Into& into) {
+  for (const auto& [key, field, least, most] : fields)
+    into.*field = number(table, key, where, into.*field, least, most);
 }
 
-Endpoint need_endpoint(View t, const char* key, const std::string& where) {
-  auto text = need_string(t, key, where);
-  auto ep = parse_endpoint(text);
-  if (!ep) throw SettingsError(where + key, text, "an IPv4 address with a port is needed");
-  return *ep;
+constexpr NumberField<Team> kTeamFields[] = {
+    {"cpus", &Team::cpus, 0, 1e9},
+    {"cpus_max", &Team::cpus_max, 0, 1e9},
+    {"gpus", &Team::gpus, 0, 1e9},
+    {"gpus_max", &Team::gpus_max, 0, 1e9},
+};
+constexpr NumberField<Objective> kObjectiveFields[] = {
+    {"within_s", &Objective::within_s, 0, 1e9},
+    {"share", &Objective::share, 0, 1e9},
+};
+constexpr NumberField<Settings> kAgentFields[] = {
+    {"report_s", &Settings::report_s, 0.01, 3600},     {"lease_s", &Settings::lease_s, 0.1, 86400},
+    {"gang_wait_s", &Settings::gang_wait_s, 0, 86400}, {"gang_peer_s", &Settings::gang_peer_s, 0, 86400},
+    {"cancel_s", &Settings::cancel_s, 0.1, 86400},
+};
+constexpr NumberField<Settings> kCloudFields[] = {
+    {"rps", &Settings::cloud_rps, 0.1, 1e6},
+    {"list_lag_s", &Settings::cloud_list_lag_s, 0, 3600},
+};
+constexpr NumberField<Settings> kProcessFields[] = {
+    {"core_share", &Settings::core_share, 0.001, 1024},
+    {"ram_mb", &Settings::ram_mb, 0, 1e9},
+};
+constexpr NumberField<StateLimits> kStateLimitFields[] = {
+    {"rps", &StateLimits::requests_per_s, 1, 1e6},
+    {"write_rps", &StateLimits::writes_per_s, 1, 1e6},
+    {"value_kb", &StateLimits::value_kb, 1, 1e6},
+};
+
+Endpoint need_endpoint(View table, const char* key, const std::string& where) {
+  auto text = need_string(table, key, where);
+  auto endpoint = parse_endpoint(text);
+  if (!endpoint) throw SettingsError(where + key, text, "an IPv4 address with a port is needed");
+  return *endpoint;
 }
 
-// The fields of one table; those that are missing keep the values of `present`.
-StateLimits state_limits_in(View table, const std::string& where, const StateLimits& present) {
-  StateLimits limits;
-  limits.requests_per_s = number(table, "rps", where, present.requests_per_s, 1, 1e6);
-  limits.writes_per_s = number(table, "write_rps", where, present.writes_per_s, 1, 1e6);
-  limits.value_kb = number(table, "value_kb", where, present.value_kb, 1, 1e6);
+/// The fields of one table; those that are missing keep the values of `limits`.
+StateLimits read_state_limits(View table, const std::string& where, StateLimits limits) {
+  read_numbers(table, where, kStateLimitFields, limits);
   limits.transaction_writes =
-      static_cast<int>(number(table, "txn_ops", where, present.transaction_writes, 4, 1e6));
+      static_cast<int>(number(table, "txn_ops", where, limits.transaction_writes, 4, 1e6));
   return limits;
 }
 
+/// The smaller of the present limits and of those announced in `next`.
 StateLimits state_limits(View table) {
   const std::string where = "deployment.state.";
-  const auto present = state_limits_in(table, where, {});
+  const auto present = read_state_limits(table, where, {});
   const View announced = table["next"];
   if (!announced) return present;
   if (!announced.is_table()) throw SettingsError(where + "next", shown(announced), "a table is needed");
-  const auto next = state_limits_in(announced, where + "next.", present);
+  const auto next = read_state_limits(announced, where + "next.", present);
   StateLimits smaller;
   smaller.requests_per_s = std::min(present.requests_per_s, next.requests_per_s);
   smaller.writes_per_s = std::min(present.writes_per_s, next.writes_per_s);
@@ -77,177 +127,190 @@
   return smaller;
 }
 
+toml::table parse_toml(const std::string& path) {
+  try {
+    return toml::parse_file(path);
+  } catch (const toml::parse_error& error) {
+    std::ostringstream at;
+    at << error.source().begin;
+    throw SettingsError("file", path, std::string(error.description()) + " (" + at.str() + ")");
+  }
+}
+
+/// One item for each of the array's, by `read`; none if the key is missing or no array.
+template <class Item, class Read>
+std::vector<Item> read_array(View table, const char* key, Read read) {
+  std::vector<Item> items;
+  if (const auto* array = table[key].as_array()) {
+    items.reserve(array->size());
+    for (const auto& node : *array) items.push_back(read(View(&node)));
+  }
+  return items;
+}
+
+Member read_member(View table) {
+  const std::string where = "members.";
+  return {need_string(table, "label", where), need_string(table, "domain", where),
+          need_endpoint(table, "endpoint", where)};
+}
+
+std::string read_zone(View value) {
+  auto name = value.value_exact<std::string>();
+  if (!name) throw SettingsError("deployment.zones", shown(value), "a name is needed");
+  return *name;
+}
+
+Team read_team(View table) {
+  const std::string where = "deployment.teams.";
+  Team team;
+  team.name = need_string(table, "name", where);
+  read_numbers(table, where, kTeamFields, team);
+  return team;
+}
+
+Objective read_objective(View table) {
+  const std::string where = "deployment.objectives.";
+  Objective objective;
+  objective.kind = need_string(table, "kind", where);
+  objective.job_class = table["class"].value_or(std::string());
+  read_numbers(table, where, kObjectiveFields, objective);
+  return objective;
+}
+
+/// The `deployment` table, which is alike for all controllers. `settings.members` is read before it.
+void read_deployment(View table, Settings& settings) {
+  settings.nodes = static_cast<int>(
+      number(table, "nodes", "deployment.", static_cast<double>(settings.members.size() + 1), 1, 99));
+  settings.zones = read_array<std::string>(table, "zones", read_zone);
+  if (settings.zones.empty())
+    throw SettingsError("deployment.zones", shown(table["zones"]), "a list of zones is needed");
+  constexpr double kMsPerS = 1000;
+  settings.clock_error_s = number(table, "clock_error_ms", "deployment.", 0, 0, 1e6) / kMsPerS;
+  settings.teams = read_array<Team>(table, "teams", read_team);
+  if (settings.teams.empty())
+    throw SettingsError("deployment.teams", shown(table["teams"]), "a list of teams is needed");
+  settings.objectives = read_array<Objective>(table, "objectives", read_objective);
+  read_numbers(table["workers"], "deployment.workers.", kAgentFields, settings);
+  // Nearer, no leader could answer an agent without risking that a cancelled task outlives cancel_s.
+  if (settings.renewal_window_s() < 1)
+    throw SettingsError("deployment.workers.cancel_s", fmt::format("{}", settings.cancel_s),
+                        fmt::format("too near lease_s = {}", settings.lease_s));
+  settings.state_limits = state_limits(table["state"]);
+  read_numbers(table["cloud"], "deployment.cloud.", kCloudFields, settings);
+  read_numbers(table["quota"], "deployment.quota.", kProcessFields, settings);
+  settings.max_sockets = static_cast<int>(
+      number(table["quota"], "fd_limit", "deployment.quota.", settings.max_sockets, 16, 1e7));
+}
+
+/// One of the operators' properties: its name, where it goes, and its range.
+struct Property {
+  const char* name;
+  std::variant<double Tuning::*, int Tuning::*> field;
+  double least, most;
+  const char* rule;  // what the error line says
+};
+
+// More than nothing.
+constexpr double kAboveZero = std::numeric_limits<double>::denorm_min();
+
+constexpr Property kProperties[] = {
+    {"usage.window_s", &Tuning::window_s, 1, 3600, "must be 1 to 3600"},
+    {"usage.windows", &Tuning::windows, 1, 1000, "must be 1 to 1000"},
+    {"usage.decay", &Tuning::decay, kAboveZero, 1, "must be above 0 and at most 1"},
+    {"rank.image_factor", &Tuning::image_factor, 0, kUnlimited, "must not be negative"},
+    {"rank.size_factor", &Tuning::size_factor, 0, kUnlimited, "must not be negative"},
+    {"rank.usage_factor", &Tuning::usage_factor, 0, kUnlimited, "must not be negative"},
+    {"round_s", &Tuning::round_s, 0.1, 60, "must be 0.1 to 60"},
+    {"parts.per_zone", &Tuning::partitions_per_zone, 0, 64, "must be 0 to 64"},
+    {"member.ttl_s", &Tuning::member_ttl_s, 0.5, 600, "must be 0.5 to 600"},
+    {"state.flush_s", &Tuning::flush_s, 0.02, 2, "must be 0.02 to 2"},
+    {"state.sync_s", &Tuning::sync_s, 0.05, 2, "must be 0.05 to 2"},
+    {"state.sync_least_s", &Tuning::sync_least_s, 0.01, kUnlimited, "must be 0.01 to state.sync_s"},
+    {"hire.idle_return_s", &Tuning::idle_return_s, 1, kUnlimited, "must be at least 1"},
+    {"hire.batch", &Tuning::scale_out_batch, 1, 50, "must be 1 to 50"},
+    {"gather.patience_s", &Tuning::gang_reservation_delay_s, 0, kUnlimited, "must not be negative"},
+};
+
+void require(bool holds, const char* name, double value, const char* rule) {
+  if (holds) return;
+  std::ostringstream shown_value;
+  shown_value << value;
+  throw SettingsError(name, shown_value.str(), rule);
+}
+
+void read_property(const Poco::Util::PropertyFileConfiguration& file, const Property& property,
+                   Tuning& tuning) {
+  if (!file.has(property.name)) return;
+  const bool whole = std::holds_alternative<int Tuning::*>(property.field);
+  try {
+    if (whole) {
+      tuning.*std::get<int Tuning::*>(property.field) = file.getInt(property.name);
+    } else {
+      tuning.*std::get<double Tuning::*>(property.field) = file.getDouble(property.name);
+    }
+  } catch (const Poco::Exception&) {
+    throw SettingsError(property.name, file.getRawString(property.name),
+                        whole ? "a whole number is needed" : "a number is needed");
+  }
+}
+
 }  // namespace
 
 std::optional<Endpoint> parse_endpoint(const std::string& text) {
-  auto colon = text.rfind(':');
+  const auto colon = text.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
-  Endpoint ep;
-  ep.host = text.substr(0, colon);
+  Endpoint endpoint;
+  endpoint.host = text.substr(0, colon);
   boost::system::error_code ec;
-  boost::asio::ip::make_address_v4(ep.host, ec);
+  boost::asio::ip::make_address_v4(endpoint.host, ec);
   if (ec) return std::nullopt;
   const char* first = text.data() + colon + 1;
   const char* last = text.data() + text.size();
-  auto [end, err] = std::from_chars(first, last, ep.port);
-  if (err != std::errc() || end != last || ep.port == 0) return std::nullopt;
-  return ep;
+  const auto [end, error] = std::from_chars(first, last, endpoint.port);
+  if (error != std::errc() || end != last || endpoint.port == 0) return std::nullopt;
+  return endpoint;
 }
 
 Settings load_settings(const std::string& path) {
-  toml::table doc;
-  try {
-    doc = toml::parse_file(path);
-  } catch (const toml::parse_error& e) {
-    std::ostringstream at;
-    at << e.source().begin;
-    throw SettingsError("file", path, std::string(e.description()) + " (" + at.str() + ")");
-  }
-  const toml::node& root_node = doc;
-  View root(&root_node);
-  Settings s;
-  s.label = need_string(root, "label", "");
-  s.zone = need_string(root, "domain", "");
-  s.listen = need_endpoint(root, "bind", "");
-  s.peer_listen = need_endpoint(root, "peer_listen", "");
-  if (auto* members = root["members"].as_array()) {
-    for (const auto& node : *members) {
-      View m(&node);
-      s.members.push_back({need_string(m, "label", "members."), need_string(m, "domain", "members."),
-                           need_endpoint(m, "endpoint", "members.")});
-    }
-  }
-  View tombstones = root["endpoints"];
-  s.cloud = need_endpoint(tombstones, "cloud", "endpoints.");
-  s.state = need_endpoint(tombstones, "state", "endpoints.");
-  View d = root["deployment"];
-  s.nodes =
-      static_cast<int>(number(d, "nodes", "deployment.", static_cast<double>(s.members.size() + 1), 1, 99));
-  if (auto* zones = d["zones"].as_array()) {
-    for (const auto& z : *zones) {
-      auto name = z.value_exact<std::string>();
-      if (!name) throw SettingsError("deployment.zones", shown(View(&z)), "a name is needed");
-      s.zones.push_back(*name);
-    }
-  }
-  if (s.zones.empty())
-    throw SettingsError("deployment.zones", shown(d["zones"]), "a list of zones is needed");
-  s.clock_error_s = number(d, "clock_error_ms", "deployment.", 0, 0, 1e6) / 1000;
-  if (auto* teams = d["teams"].as_array()) {
-    for (const auto& node : *teams) {
-      View t(&node);
-      const std::string where = "deployment.teams.";
-      Team team;
-      team.name = need_string(t, "name", where);
-      team.cpus = number(t, "cpus", where, 0, 0, 1e9);
-      team.cpus_max = number(t, "cpus_max", where, 0, 0, 1e9);
-      team.gpus = number(t, "gpus", where, 0, 0, 1e9);
-      team.gpus_max = number(t, "gpus_max", where, 0, 0, 1e9);
-      s.teams.push_back(team);
-    }
-  }
-  if (s.teams.empty())
-    throw SettingsError("deployment.teams", shown(d["teams"]), "a list of teams is needed");
-  if (auto* objectives = d["objectives"].as_array()) {
-    for (const auto& node : *objectives) {
-      View o(&node);
-      Objective obj;
-      obj.kind = need_string(o, "kind", "deployment.objectives.");
-      obj.job_class = o["class"].value_or(std::string());
-      obj.within_s = number(o, "within_s", "deployment.objectives.", 0, 0, 1e9);
-      obj.share = number(o, "share", "deployment.objectives.", 0, 0, 1e9);
-      s.objectives.push_back(obj);
-    }
+  const toml::table document = parse_toml(path);
+  const toml::node& root_node = document;
+  const View root(&root_node);
+  Settings settings;
+  settings.label = need_string(root, "label", "");
+  settings.zone = need_string(root, "domain", "");
+  settings.listen = need_endpoint(root, "bind", "");
+  settings.peer_listen = need_endpoint(root, "peer_listen", "");
+  settings.members = read_array<Member>(root, "members", read_member);
+  settings.cloud = need_endpoint(root["endpoints"], "cloud", "endpoints.");
+  settings.state = need_endpoint(root["endpoints"], "state", "endpoints.");
+  read_deployment(root["deployment"], settings);
+  return settings;
+}
+
+void check(const Tuning& tuning) {
+  for (const auto& property : kProperties) {
+    const double value =
+        std::visit([&](auto field) { return static_cast<double>(tuning.*field); }, property.field);
+    require(value >= property.least && value <= property.most, property.name, value, property.rule);
   }
-  View w = d["workers"];
-  s.report_s = number(w, "report_s", "deployment.workers.", s.report_s, 0.01, 3600);
-  s.lease_s = number(w, "lease_s", "deployment.workers.", s.lease_s, 0.1, 86400);
-  s.gang_wait_s = number(w, "gang_wait_s", "deployment.workers.", s.gang_wait_s, 0, 86400);
-  s.gang_peer_s = number(w, "gang_peer_s", "deployment.workers.", s.gang_peer_s, 0, 86400);
-  s.cancel_s = number(w, "cancel_s", "deployment.workers.", s.cancel_s, 0.1, 86400);
-  // Nearer, no leader could answer an agent without risking that a cancelled task outlives cancel_s.
-  if (s.renewal_window_s() < 1)
-    throw SettingsError("deployment.workers.cancel_s", fmt::format("{}", s.cancel_s),
-                        fmt::format("too near lease_s = {}", s.lease_s));
-  s.state_limits = state_limits(d["state"]);
-  View c = d["cloud"];
-  s.cloud_rps = number(c, "rps", "deployment.cloud.", s.cloud_rps, 0.1, 1e6);
-  s.cloud_list_lag_s = number(c, "list_lag_s", "deployment.cloud.", s.cloud_list_lag_s, 0, 3600);
-  View q = d["quota"];
-  s.core_share = number(q, "core_share", "deployment.quota.", s.core_share, 0.001, 1024);
-  s.ram_mb = number(q, "ram_mb", "deployment.quota.", s.ram_mb, 0, 1e9);
-  s.max_sockets = static_cast<int>(number(q, "fd_limit", "deployment.quota.", s.max_sockets, 16, 1e7));
-  return s;
-}
-
-void check(const Tuning& t) {
-  auto need = [](bool ok, const char* field, double value, const char* why) {
-    if (ok) return;
-    std::ostringstream shown_value;
-    shown_value << value;
-    throw SettingsError(field, shown_value.str(), why);
-  };
-  need(t.window_s >= 1 && t.window_s <= 3600, "usage.window_s", t.window_s, "must be 1 to 3600");
-  need(t.windows >= 1 && t.windows <= 1000, "usage.windows", t.windows, "must be 1 to 1000");
-  need(t.decay > 0 && t.decay <= 1, "usage.decay", t.decay, "must be above 0 and at most 1");
-  need(t.image_factor >= 0, "rank.image_factor", t.image_factor, "must not be negative");
-  need(t.size_factor >= 0, "rank.size_factor", t.size_factor, "must not be negative");
-  need(t.usage_factor >= 0, "rank.usage_factor", t.usage_factor, "must not be negative");
-  const double sum = t.image_factor + t.size_factor + t.usage_factor;
-  need(std::abs(sum - 1) < 1e-6, "rank.image_factor+size_factor+usage_factor", sum, "must sum to 1");
-  need(t.round_s >= 0.1 && t.round_s <= 60, "round_s", t.round_s, "must be 0.1 to 60");
-  need(t.partitions_per_zone >= 0 && t.partitions_per_zone <= 64, "parts.per_zone", t.partitions_per_zone,
-       "must be 0 to 64");
-  need(t.member_ttl_s >= 0.5 && t.member_ttl_s <= 600, "member.ttl_s", t.member_ttl_s, "must be 0.5 to 600");
-  need(t.flush_s >= 0.02 && t.flush_s <= 2, "state.flush_s", t.flush_s, "must be 0.02 to 2");
-  need(t.sync_s >= 0.05 && t.sync_s <= 2, "state.sync_s", t.sync_s, "must be 0.05 to 2");
-  need(t.sync_least_s >= 0.01 && t.sync_least_s <= t.sync_s, "state.sync_least_s", t.sync_least_s,
-       "must be 0.01 to state.sync_s");
-  need(t.idle_return_s >= 1, "hire.idle_return_s", t.idle_return_s, "must be at least 1");
-  need(t.gang_reservation_delay_s >= 0, "gather.patience_s", t.gang_reservation_delay_s,
-       "must not be negative");
-  need(t.scale_out_batch >= 1 && t.scale_out_batch <= 50, "hire.batch", t.scale_out_batch, "must be 1 to 50");
+  constexpr double kRounding = 1e-6;
+  const double sum = tuning.image_factor + tuning.size_factor + tuning.usage_factor;
+  require(std::abs(sum - 1) < kRounding, "rank.image_factor+size_factor+usage_factor", sum, "must sum to 1");
+  require(tuning.sync_least_s <= tuning.sync_s, "state.sync_least_s", tuning.sync_least_s,
+          "must be 0.01 to state.sync_s");
 }
 
 Tuning load_properties(const std::string& path) {
-  Tuning t;
-  Poco::AutoPtr<Poco::Util::PropertyFileConfiguration> p;
+  Poco::AutoPtr<Poco::Util::PropertyFileConfiguration> file;
   try {
-    p = new Poco::Util::PropertyFileConfiguration(path);
-  } catch (const Poco::Exception& e) {
-    throw SettingsError("properties", path, e.displayText());
+    file = new Poco::Util::PropertyFileConfiguration(path);
+  } catch (const Poco::Exception& error) {
+    throw SettingsError("properties", path, error.displayText());
   }
-  auto real = [&](const char* key, double& into) {
-    try {
-      if (p->has(key)) into = p->getDouble(key);
-    } catch (const Poco::Exception&) {
-      throw SettingsError(key, p->getRawString(key), "a number is needed");
-    }
-  };
-  auto whole = [&](const char* key, int& into) {
-    try {
-      if (p->has(key)) into = p->getInt(key);
-    } catch (const Poco::Exception&) {
-      throw SettingsError(key, p->getRawString(key), "a whole number is needed");
-    }
-  };
-  real("usage.window_s", t.window_s);
-  whole("usage.windows", t.windows);
-  real("usage.decay", t.decay);
-  real("rank.image_factor", t.image_factor);
-  real("rank.size_factor", t.size_factor);
-  real("rank.usage_factor", t.usage_factor);
-  real("round_s", t.round_s);
-  whole("parts.per_zone", t.partitions_per_zone);
-  real("member.ttl_s", t.member_ttl_s);
-  real("state.flush_s", t.flush_s);
-  real("state.sync_s", t.sync_s);
-  real("state.sync_least_s", t.sync_least_s);
-  real("hire.idle_return_s", t.idle_return_s);
-  whole("hire.batch", t.scale_out_batch);
-  real("gather.patience_s", t.gang_reservation_delay_s);
-  check(t);
-  return t;
+  Tuning tuning;
+  for (const auto& property : kProperties) read_property(*file, property, tuning);
+  check(tuning);
+  return tuning;
 }
 
 }  // namespace finchrun::config
--- a/src/core/clock.cpp
+++ b/src/core/clock.cpp
@@ -23,7 +23,8 @@
 bool Steady::simulated() noexcept { return simulated_now.load(std::memory_order_relaxed); }
 
 double wall_s() {
-  if (Steady::simulated()) return 1.7e9 + Seconds(Steady::now().time_since_epoch()).count();
+  constexpr double kSimulatedEpochS = 1.7e9;
+  if (Steady::simulated()) return kSimulatedEpochS + Seconds(Steady::now().time_since_epoch()).count();
   return Seconds(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -13,6 +13,25 @@
 namespace beast = boost::beast;
 namespace bhttp = beast::http;
 
+namespace {
+
+constexpr unsigned kHttp11 = 11;
+// The store's whole content comes in pages of less.
+constexpr std::uint64_t kMaxAnswerBytes = std::uint64_t{64} * 1024 * 1024;
+
+asio::awaitable<Code> connect(Socket& socket, const config::Endpoint& endpoint) {
+  const asio::ip::tcp::endpoint to(asio::ip::make_address_v4(endpoint.host), endpoint.port);
+  Code ec;
+  co_await socket.async_connect(to, asio::redirect_error(asio::use_awaitable, ec));
+  if (ec) co_return ec;
+  Code ignored;
+  socket.set_option(asio::ip::tcp::no_delay(true), ignored);
+  socket.non_blocking(true, ignored);
+  co_return ec;
+}
+
+}  // namespace
+
 Client::Client(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor,
                config::Endpoint endpoint, std::size_t keep)
     : deadlines_(std::move(deadlines)),
@@ -20,9 +39,16 @@
       endpoint_(std::move(endpoint)),
       keep_(keep) {}
 
+Client::Stream Client::take_idle() {
+  if (idle_.empty()) return nullptr;
+  Stream stream = std::move(idle_.back());
+  idle_.pop_back();
+  return stream;
+}
+
 asio::awaitable<Answer> Client::call(Verb verb, std::string target, std::string body,
                                      std::chrono::milliseconds limit) {
-  bhttp::request<bhttp::string_body> request(verb, target, 11);
+  bhttp::request<bhttp::string_body> request(verb, target, kHttp11);
   request.set(bhttp::field::host, endpoint_.text());
   if (!body.empty()) request.set(bhttp::field::content_type, "application/json");
   request.body() = std::move(body);
@@ -32,24 +58,13 @@
   // A kept connection may have been closed by the other side before it took the request; only a failure to
   // write on it is tried again on a new one, since after that the request might be executed.
   for (int attempt = 0; attempt < 2; ++attempt) {
-    Stream stream;
-    Code ec;
-    const bool reused = attempt == 0 && !idle_.empty();
-    if (reused) {
-      stream = std::move(idle_.back());
-      idle_.pop_back();
-    } else {
-      stream = std::make_unique<Socket>(executor_);
-    }
+    Stream stream = attempt == 0 ? take_idle() : nullptr;
+    const bool reused = stream != nullptr;
+    if (!reused) stream = std::make_unique<Socket>(executor_);
     const core::Deadlines::Guard guard(deadlines_, *stream, deadline);
-    if (!reused) {
-      asio::ip::tcp::endpoint to(asio::ip::make_address_v4(endpoint_.host), endpoint_.port);
-      co_await stream->async_connect(to, asio::redirect_error(asio::use_awaitable, ec));
-      if (ec) co_return Answer{};
-      Code ignored;
-      stream->set_option(asio::ip::tcp::no_delay(true), ignored);
-      stream->non_blocking(true, ignored);
-    }
+    Code ec;
+    if (!reused) ec = co_await connect(*stream, endpoint_);
+    if (ec) co_return Answer{};
     ec = co_await send(*stream, request);
     if (ec) {
       if (reused && core::Steady::now() < deadline) continue;
@@ -57,7 +72,7 @@
     }
     beast::flat_buffer buffer;
     bhttp::response_parser<bhttp::string_body> parser;
-    parser.body_limit(64 * 1024 * 1024);
+    parser.body_limit(kMaxAnswerBytes);
     ec = co_await receive(*stream, buffer, parser);
     if (ec) co_return Answer{};
     Answer answer{static_cast<int>(parser.get().result_int()), std::move(parser.get().body())};
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -10,6 +10,7 @@
 
 namespace finchrun::http {
 
+/// Requests to one endpoint, each on a connection of its own; up to `keep` idle ones are kept for the next.
 class Client : public Transport {
  public:
   Client(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor,
@@ -22,6 +23,7 @@
 
  private:
   using Stream = std::unique_ptr<boost::asio::ip::tcp::socket>;
+  Stream take_idle();
   std::shared_ptr<core::Deadlines> deadlines_;
   asio::any_io_executor executor_;
   config::Endpoint endpoint_;
@@ -29,17 +31,17 @@
   std::vector<Stream> idle_;
 };
 
-// The real network.
+/// The real network.
 class TcpNetwork : public Network {
  public:
   explicit TcpNetwork(asio::any_io_executor executor)
-      : executor_(executor),
-        deadlines_(std::make_shared<core::Deadlines>(executor, std::chrono::milliseconds(200))) {}
+      : executor_(executor), deadlines_(std::make_shared<core::Deadlines>(executor, kDeadlineTick)) {}
   std::unique_ptr<Transport> connect(const config::Endpoint& to, std::size_t keep) override {
     return std::make_unique<Client>(deadlines_, executor_, to, keep);
   }
 
  private:
+  static constexpr std::chrono::milliseconds kDeadlineTick{200};
   asio::any_io_executor executor_;
   std::shared_ptr<core::Deadlines> deadlines_;
 };
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -14,24 +14,26 @@
 
 #include "core/deadlines.hpp"
 #include "http/exchange.hpp"
+#include "http/status.hpp"
 
 namespace finchrun::http {
 namespace {
 
 namespace beast = boost::beast;
 namespace bhttp = beast::http;
-using tcp = asio::ip::tcp;
 
-constexpr auto kIdle = std::chrono::seconds(90);
-constexpr auto kWrite = std::chrono::seconds(10);
-constexpr auto kTick = std::chrono::seconds(2);
+constexpr unsigned kHttp11 = 11;
+constexpr auto kIdle = std::chrono::seconds(90);   // between two requests, and for reading one
+constexpr auto kWrite = std::chrono::seconds(10);  // for writing a response
+constexpr auto kTick = std::chrono::seconds(2);    // how exactly these are kept
+constexpr auto kPauseAfterRefusal = std::chrono::milliseconds(50);
 
-bhttp::response<bhttp::string_body> render(Response&& r, unsigned version, bool keep_alive) {
-  bhttp::response<bhttp::string_body> out(static_cast<bhttp::status>(r.status), version);
-  out.set(bhttp::field::content_type, r.content_type);
-  if (r.retry_after_s) out.set(bhttp::field::retry_after, std::to_string(*r.retry_after_s));
+bhttp::response<bhttp::string_body> render(Response&& response, unsigned version, bool keep_alive) {
+  bhttp::response<bhttp::string_body> out(static_cast<bhttp::status>(response.status), version);
+  out.set(bhttp::field::content_type, response.content_type);
+  if (response.retry_after_s) out.set(bhttp::field::retry_after, std::to_string(*response.retry_after_s));
   out.keep_alive(keep_alive);
-  out.body() = std::move(r.body);
+  out.body() = std::move(response.body);
   out.prepare_payload();
   return out;
 }
@@ -42,14 +44,36 @@
          ec.category() == bhttp::make_error_code(bhttp::error::bad_method).category();
 }
 
-asio::awaitable<void> session(Socket socket, std::shared_ptr<Handler> handler, std::shared_ptr<int> open,
-                              std::shared_ptr<core::Deadlines> deadlines) {
-  struct Count {
-    std::shared_ptr<int> n;
-    ~Count() { --*n; }
-  } count{open};
+// The answer to a request that is not given to the handler. What was sent after it can't be told apart from
+// it, so the connection isn't used further.
+std::optional<Response> refusal_of(const Code& ec) {
+  if (ec == bhttp::error::body_limit || ec == bhttp::error::header_limit)
+    return Response{status::kPayloadTooLarge, R"({"error":"request too large"})"};
+  if (malformed(ec)) return Response{status::kBadRequest, R"({"error":"malformed request"})"};
+  return std::nullopt;
+}
+
+// Counts a connection as open while it lives.
+class OpenConnection {
+ public:
+  explicit OpenConnection(std::shared_ptr<int> count) : count_(std::move(count)) { ++*count_; }
+  ~OpenConnection() {
+    if (count_) --*count_;
+  }
+  OpenConnection(OpenConnection&&) = default;
+  OpenConnection(const OpenConnection&) = delete;
+  OpenConnection& operator=(const OpenConnection&) = delete;
+  OpenConnection& operator=(OpenConnection&&) = delete;
+
+ private:
+  std::shared_ptr<int> count_;
+};
+
+// One connection, request after request.
+asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<Handler> handler, OpenConnection,
+                                       std::shared_ptr<core::Deadlines> deadlines) {
   Code ec;
-  socket.set_option(tcp::no_delay(true), ec);
+  socket.set_option(asio::ip::tcp::no_delay(true), ec);
   socket.non_blocking(true, ec);
   core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kIdle);
   beast::flat_buffer buffer;
@@ -58,15 +82,8 @@
     parser.body_limit(kMaxBody);
     guard.move_to(core::Steady::now() + kIdle);
     ec = co_await receive(socket, buffer, parser);
-    if (ec == bhttp::error::body_limit || ec == bhttp::error::header_limit) {
-      // Refused without reading it all, so the connection can't be used further.
-      auto reply = render({413, R"({"error":"request too large"})"}, 11, false);
-      guard.move_to(core::Steady::now() + kWrite);
-      co_await send(socket, reply);
-      co_return;
-    }
-    if (malformed(ec)) {
-      auto reply = render({400, R"({"error":"malformed request"})"}, 11, false);
+    if (auto refusal = refusal_of(ec)) {
+      auto reply = render(std::move(*refusal), kHttp11, false);
       guard.move_to(core::Steady::now() + kWrite);
       co_await send(socket, reply);
       co_return;
@@ -92,25 +109,26 @@
 
 asio::awaitable<void> serve(config::Endpoint at, Handler handler, int max_connections) {
   auto executor = co_await asio::this_coro::executor;
-  tcp::acceptor acceptor(executor, tcp::endpoint(asio::ip::make_address_v4(at.host), at.port));
+  asio::ip::tcp::acceptor acceptor(executor,
+                                   asio::ip::tcp::endpoint(asio::ip::make_address_v4(at.host), at.port));
   auto shared = std::make_shared<Handler>(std::move(handler));
   auto open = std::make_shared<int>(0);
   auto deadlines = std::make_shared<core::Deadlines>(executor, kTick);
   beast::error_code ec;
   auto on_error = asio::redirect_error(asio::use_awaitable, ec);
   while (true) {
-    tcp::socket socket(executor);
+    Socket socket(executor);
     co_await acceptor.async_accept(socket, on_error);
     if (ec == asio::error::operation_aborted) co_return;
     if (ec || *open >= max_connections) {
       // Out of sockets: close this one at once, and don't spin on a failing accept.
       socket.close(ec);
-      asio::steady_timer pause(executor, std::chrono::milliseconds(50));
+      asio::steady_timer pause(executor, kPauseAfterRefusal);
       co_await pause.async_wait(on_error);
       continue;
     }
-    ++*open;
-    asio::co_spawn(executor, session(std::move(socket), shared, open, deadlines), asio::detached);
+    asio::co_spawn(executor, serve_connection(std::move(socket), shared, OpenConnection(open), deadlines),
+                   asio::detached);
   }
 }
 
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -144,16 +144,16 @@
                         "deployment.workers.cancel_s"},
                     Bad{"[deployment]", "[deployment", "file"}));
 
-// What a agent's lease leaves of cancel_s, less drift and a reserve.
-TEST(Settings, NewsMayBeAsOldAsTheLeaseLeavesOfACancellation) {
+// What an agent's lease leaves of cancel_s, less drift and a reserve.
+TEST(Settings, RenewalWindowIsWhatTheLeaseLeavesOfACancellation) {
   struct Case {
-    double lease_s, cancel_s, oldest_s;
+    double lease_s, cancel_s, window_s;
   };
   for (const auto& c : {Case{10, 30, 16.9}, Case{15.25, 35.25, 16.8475}, Case{45, 70, 21.55}}) {
     Settings s;
     s.lease_s = c.lease_s;
     s.cancel_s = c.cancel_s;
-    EXPECT_NEAR(s.renewal_window_s(), c.oldest_s, 1e-9);
+    EXPECT_NEAR(s.renewal_window_s(), c.window_s, 1e-9);
   }
 }
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -1,10 +1,15 @@
 #include "sim/services.hpp"
 
 #include <algorithm>
+#include <string_view>
+
+#include "http/status.hpp"
 
 namespace finchrun::sim {
 namespace {
 
+constexpr std::size_t kChangesKept = 400;
+
 std::uint64_t whole(const json::value& v) { return v.to_number<std::uint64_t>(); }
 Answer reply(int status, const json::object& o) { return {status, json::serialize(o)}; }
 
@@ -21,7 +26,7 @@
 }  // namespace
 
 void StateService::expire(TimePoint now) {
-  for (auto it = holds_.begin(); it != holds_.end();) {
+  for (auto it = store_leases_.begin(); it != store_leases_.end();) {
     if (it->second.ends > now) {
       ++it;
       continue;
@@ -29,18 +34,18 @@
     std::vector<std::string> gone;
     for (const auto& [key, item] : items_)
       if (item.store_lease == it->first) gone.push_back(key);
-    if (!gone.empty()) ++epoch_;
+    if (!gone.empty()) ++revision_;
     for (const auto& key : gone) {
       items_.erase(key);
-      log_.push_back({epoch_, key, std::nullopt});
+      log_.push_back({revision_, key, std::nullopt});
     }
-    it = holds_.erase(it);
+    it = store_leases_.erase(it);
   }
 }
 
 void StateService::recover(TimePoint now) {
   outage = false;
-  for (auto& [_, h] : holds_) h.ends = now + core::secs(h.ttl_s);
+  for (auto& [_, h] : store_leases_) h.ends = now + core::secs(h.ttl_s);
 }
 
 std::size_t StateService::changes_of(const std::string& prefix) const {
@@ -57,7 +62,7 @@
 
 Answer StateService::too_large(const char* what) {
   ++refused_for_size;
-  return reply(400, {{"error", what}});
+  return reply(http::status::kBadRequest, {{"error", what}});
 }
 
 Answer StateService::commit(const json::object& o) {
@@ -67,78 +72,88 @@
     const auto it = items_.find(key);
     if ((it == items_.end() ? 0 : it->second.revision) != whole(c.at("stamp"))) failed.emplace_back(key);
   }
-  if (!failed.empty()) return reply(409, {{"failed", failed}, {"epoch", epoch_}});
+  if (!failed.empty()) return reply(http::status::kConflict, {{"failed", failed}, {"epoch", revision_}});
   const auto& writes = o.at("then").as_array();
   if (writes.size() > transaction_writes) return too_large("too many changes");
   if (o.at("when").as_array().size() > 4 * transaction_writes) return too_large("too many conditions");
   for (const auto& c : writes)
     if (const auto* store_lease = c.as_object().if_contains("hold");
-        store_lease && !holds_.contains(whole(*store_lease)))
-      return reply(400, {{"error", "no such lease"}});
+        store_lease && !store_leases_.contains(whole(*store_lease)))
+      return reply(http::status::kBadRequest, {{"error", "no such lease"}});
   for (const auto& c : writes)
     if (c.as_object().contains("set") && json::serialize(c.at("data")).size() > value_bytes)
       return too_large("value too large");
-  if (!writes.empty()) ++epoch_;
+  if (!writes.empty()) ++revision_;
   for (const auto& c : writes) {
     if (const auto* key = c.as_object().if_contains("set")) {
       const auto* store_lease = c.as_object().if_contains("hold");
-      items_[std::string(key->as_string())] = {c.at("data"), epoch_, store_lease ? whole(*store_lease) : 0};
-      log_.push_back({epoch_, std::string(key->as_string()), c.at("data")});
+      items_[std::string(key->as_string())] = {c.at("data"), revision_,
+                                               store_lease ? whole(*store_lease) : 0};
+      log_.push_back({revision_, std::string(key->as_string()), c.at("data")});
     } else {
       items_.erase(std::string(c.at("delete").as_string()));
-      log_.push_back({epoch_, std::string(c.at("delete").as_string()), std::nullopt});
+      log_.push_back({revision_, std::string(c.at("delete").as_string()), std::nullopt});
     }
   }
-  while (log_.size() > 400) log_.pop_front();
-  return reply(200, {{"epoch", epoch_}});
+  while (log_.size() > kChangesKept) log_.pop_front();
+  return reply(http::status::kOk, {{"epoch", revision_}});
 }
 
-Answer StateService::handle(http::Verb verb, const std::string& target, const std::string& body,
-                            TimePoint now) {
-  if (outage) return {503, "{}"};
-  expire(now);
-  if (target == "/commit") return commit(json::parse(body).as_object());
-  if (target.starts_with("/follow")) {
-    const auto from = std::stoull(query(target, "from"));
-    if (!log_.empty() && log_.size() >= 400 && from + 1 < log_.front().revision) return {410, "{}"};
-    json::array events;
-    for (const auto& e : log_) {
-      if (e.revision <= from) continue;
-      if (e.value) {
-        events.push_back(json::object{{"set", e.key}, {"data", *e.value}, {"stamp", e.revision}});
-      } else {
-        events.push_back(json::object{{"delete", e.key}, {"stamp", e.revision}});
-      }
+Answer StateService::changes_since(std::uint64_t revision) const {
+  if (!log_.empty() && log_.size() >= kChangesKept && revision + 1 < log_.front().revision)
+    return {http::status::kGone, "{}"};
+  json::array events;
+  for (const auto& change : log_) {
+    if (change.revision <= revision) continue;
+    if (change.value) {
+      events.push_back(
+          json::object{{"set", change.key}, {"data", *change.value}, {"stamp", change.revision}});
+    } else {
+      events.push_back(json::object{{"delete", change.key}, {"stamp", change.revision}});
     }
-    return reply(200, {{"epoch", epoch_}, {"events", events}});
   }
-  if (target.starts_with("/store?")) {
-    const auto after = query(target, "from");
-    const auto limit = std::stoul(query(target, "limit"));
-    json::array items;
-    bool more = false;
-    for (auto it = items_.upper_bound(after); it != items_.end(); ++it) {
-      if (items.size() == limit) {
-        more = true;
-        break;
-      }
-      items.push_back(
-          json::object{{"k", it->first}, {"data", it->second.value}, {"stamp", it->second.revision}});
+  return reply(http::status::kOk, {{"epoch", revision_}, {"events", events}});
+}
+
+Answer StateService::page(const std::string& after, std::size_t limit) const {
+  json::array items;
+  bool more = false;
+  for (auto it = items_.upper_bound(after); it != items_.end(); ++it) {
+    if (items.size() == limit) {
+      more = true;
+      break;
     }
-    return reply(200, {{"items", items}, {"hasNext", more}, {"epoch", epoch_}});
-  }
-  if (target == "/grants") {
-    const double ttl = json::parse(body).at("ttlMs").to_number<double>() / 1000;
-    holds_[next_hold_] = {now + core::secs(ttl), ttl};
-    return reply(200, {{"hold", next_hold_++}});
+    items.push_back(
+        json::object{{"k", it->first}, {"data", it->second.value}, {"stamp", it->second.revision}});
   }
-  if (target.starts_with("/grants/") && verb == http::Verb::post) {
-    auto it = holds_.find(std::stoull(target.substr(8)));
-    if (it == holds_.end()) return {404, "{}"};
-    it->second.ends = now + core::secs(it->second.ttl_s);
-    return {200, "{}"};
-  }
-  return {400, "{}"};
+  return reply(http::status::kOk, {{"items", items}, {"hasNext", more}, {"epoch", revision_}});
+}
+
+Answer StateService::grant_lease(double ttl_s, TimePoint now) {
+  store_leases_[next_store_lease_] = {now + core::secs(ttl_s), ttl_s};
+  return reply(http::status::kOk, {{"hold", next_store_lease_++}});
+}
+
+Answer StateService::renew_lease(std::uint64_t store_lease, TimePoint now) {
+  const auto it = store_leases_.find(store_lease);
+  if (it == store_leases_.end()) return {http::status::kNotFound, "{}"};
+  it->second.ends = now + core::secs(it->second.ttl_s);
+  return {http::status::kOk, "{}"};
+}
+
+Answer StateService::handle(http::Verb verb, const std::string& target, const std::string& body,
+                            TimePoint now) {
+  constexpr std::string_view kGrants = "/grants";
+  constexpr double kMsPerS = 1000;
+  if (outage) return {http::status::kServiceUnavailable, "{}"};
+  expire(now);
+  if (target == "/commit") return commit(json::parse(body).as_object());
+  if (target.starts_with("/follow")) return changes_since(std::stoull(query(target, "from")));
+  if (target.starts_with("/store?")) return page(query(target, "from"), std::stoul(query(target, "limit")));
+  if (target == kGrants) return grant_lease(json::parse(body).at("ttlMs").to_number<double>() / kMsPerS, now);
+  if (target.starts_with("/grants/") && verb == http::Verb::post)
+    return renew_lease(std::stoull(target.substr(kGrants.size() + 1)), now);
+  return {http::status::kBadRequest, "{}"};
 }
 
 json::object Agent::heartbeat() {
@@ -197,12 +212,12 @@
 Answer Agent::direct(const std::string& body, std::map<std::string, JobTruth>& jobs, TimePoint now) {
   const auto o = json::parse(body).as_object();
   const auto offered = whole(o.at("baton"));
-  if (offered < fencing_token) return reply(409, heartbeat());
+  if (offered < fencing_token) return reply(http::status::kConflict, heartbeat());
   if (offered > fencing_token) changed = true;
   fencing_token = offered;
-  if (whole(o.at("stint")) != agent_incarnation) return reply(409, heartbeat());
+  if (whole(o.at("stint")) != agent_incarnation) return reply(http::status::kConflict, heartbeat());
   execute(o.at("orders").as_array(), jobs, now);
-  return reply(200, heartbeat());
+  return reply(http::status::kOk, heartbeat());
 }
 
 void Agent::expire(double lease_s, TimePoint now) {
@@ -239,9 +254,10 @@
 
 Answer CloudService::handle(http::Verb verb, const std::string& target, const std::string& body,
                             TimePoint now) {
-  if (outage) return {503, R"({"error":"trouble"})"};
+  if (outage) return {http::status::kServiceUnavailable, R"({"error":"trouble"})"};
   if (target == "/flavors")
-    return {200, R"({"racks":[{"name":"g4","vcpus":32,"gpus":4,"ramGb":256,"cacheGb":100,"pullGbPerS":1.0,
+    return {http::status::kOk,
+            R"({"racks":[{"name":"g4","vcpus":32,"gpus":4,"ramGb":256,"cacheGb":100,"pullGbPerS":1.0,
       "rate":10.0,"spotPrice":4.0,"readyS":5,"halls":["a","b"]}]})"};
   if (target == "/hosts/release") {
     const auto request = json::parse(body);
@@ -250,7 +266,7 @@
       hosts.erase(name);
       on_release(name);
     }
-    return {200, "{}"};
+    return {http::status::kOk, "{}"};
   }
   if (verb == http::Verb::post) {
     const auto o = json::parse(body).as_object();
@@ -261,21 +277,22 @@
       return h.second.zone == zone && h.second.spot == spot;
     });
     if (names.empty()) {
-      if (in_zone >= (spot ? spot_capacity : capacity)) return {503, R"({"error":"no capacity"})"};
+      if (in_zone >= (spot ? spot_capacity : capacity))
+        return {http::status::kServiceUnavailable, R"({"error":"no capacity"})"};
       constexpr double kBootS = 5, kNever = 1e6;
       names.push_back(add(zone, now, never_up-- > 0 ? kNever : kBootS));
       hosts[names.back()].spot = spot;
     }
     json::array out;
     for (const auto& n : names) out.emplace_back(n);
-    return reply(200, {{"perches", out}});
+    return reply(http::status::kOk, {{"perches", out}});
   }
   // The list lags by three seconds.
   lists_.emplace_back(now, list(now));
   while (lists_.size() > 1 &&
          (lists_[1].first + core::secs(3) <= now || lists_[0].first + core::secs(6) < now))
     lists_.pop_front();
-  return reply(200, lists_.front().second);
+  return reply(http::status::kOk, lists_.front().second);
 }
 
 }  // namespace finchrun::sim
