--- a/.ci/lint.sh
+++ b/.ci/lint.sh
@@ -22,7 +22,7 @@
   out=findings/$(tr / . <<<"$1")
   if ! clang-tidy-19 --quiet -p . --extra-arg=-Wno-unknown-warning-option "../$1" >"$out" 2>"$out.log"; then
     if ! grep -q ': error: ' "$out"; then
-      { echo "$PWD/$1: error: could not be checked [lint]" && tail -5 "$out.log"; } >>"$out"
+      { echo "${PWD%/*}/$1: error: could not be checked [lint]" && tail -5 "$out.log"; } >>"$out"
     fi
   fi
 }
