--- a/tests/app/fault_scenarios.hpp
+++ b/tests/app/fault_scenarios.hpp
@@ -1,4 +1,4 @@
-// What the days of the simulated cluster share.
+// What the scenarios of the simulated cluster share.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/app/overlapping_faults_test.cpp
+++ b/tests/app/overlapping_faults_test.cpp
@@ -37,7 +37,7 @@
 }
 
 // The check itself: machines that nobody reaches have room, and what was accepted waits beside it.
-TEST(Meetings, AJobThatWaitsBesideRoomIsSeen) {
+TEST(OverlappingFaults, AJobThatWaitsBesideRoomIsSeen) {
   Cluster c(4);
   c.troubles_over = core::Steady::now() + core::secs(10);
   c.at(8, [&c] {
@@ -50,14 +50,14 @@
   EXPECT_EQ(c.broken.front(), "left waiting req-000000");
 }
 
-struct Meeting {
+struct FaultScenario {
   const char* name;
   Timing timing;
   double over_s;  // when the troubles are over
   std::function<void(Cluster&)> job_failures;
 };
-class Meetings : public testing::TestWithParam<Meeting> {};
-TEST_P(Meetings, KeepsTheRulesAndFinishes) {
+class OverlappingFaults : public testing::TestWithParam<FaultScenario> {};
+TEST_P(OverlappingFaults, KeepsTheRulesAndFinishes) {
   const auto& m = GetParam();
   for (const std::uint32_t seed : {7u, 8u}) {
     Cluster c(seed, 3, 3, m.timing);
@@ -73,7 +73,7 @@
   }
 }
 
-Meeting gap_of(const char* name, Timing t, bool peers_too) {
+FaultScenario gap_of(const char* name, Timing t, bool peers_too) {
   const double out_for = t.cancel_s + 12;
   return {name, t, 24 + out_for, [=](Cluster& c) {
             long_arrays(c, out_for + 10);
@@ -116,14 +116,14 @@
                                                   c.cut.insert({other(c.busiest()), "peers"});
                                                 },
                                                 false},
-                                         Outage{"one_forgets_what_it_told",
+                                         Outage{"one_restarts_and_cannot_confirm",
                                                 [](Cluster& c) { c.crash(other(c.busiest()), 0.3); }, false}),
                          [](const auto& info) { return std::string(info.param.name); });
 
 // A controller hears none of its machines for longer than a lease, while everything else reaches it. Their
 // agents wait for each time-out, and were sent to the leader once more by whoever they came to: their leases
 // ran out.
-TEST(CutFromWorkers, CostsNoTasksWhileAnotherControllerRelays) {
+TEST(CutFromAgents, CostsNoTasksWhileAnotherControllerRelays) {
   for (const std::uint32_t seed : {21u, 22u, 23u}) {
     Cluster c(seed);
     for (int i = 0; i < 8; ++i) c.at(5, [&c] { c.submit(1, false, 1, 60, "blue", "normal"); });
@@ -139,9 +139,9 @@
   }
 }
 
-// The same while new jobs come: starts without an answer cost their part a new term, again and again. One for
-// each of the two partitions is left, for those that were on their way.
-TEST(CutFromWorkers, TakesFewNewTermsWhileWorkIsStartedByReports) {
+// The same while new jobs come: starts without an answer cost their partition a new fencing token, again and
+// again. One for each of the two partitions is left, for those that were on their way.
+TEST(CutFromAgents, TakesFewFencingTokensWhileTasksStartByHeartbeats) {
   for (const std::uint32_t seed : {24u, 25u}) {
     Cluster c(seed);
     for (int i = 0; i < 60; ++i)
@@ -162,7 +162,7 @@
   }
 }
 
-// What users send that is odd, and what they are told; by every controller the same.
+// What users send that is odd, and what they are answered; by every controller the same.
 struct Odd {
   const char* name;
   const char *field, *value;  // of a good submission, replaced; no value: left out
@@ -205,7 +205,7 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 // Asked again when it is over, in whatever way, a job keeps its state; one that nobody knows is unknown.
-TEST(Meetings, RepeatsAndCancellationsOfWhatIsOverTellItsState) {
+TEST(OverlappingFaults, RepeatedSubmissionsAndCancellationsOfFinishedJobsAnswerTheirStatus) {
   Cluster c(6);
   c.at(5, [&c] { c.submit(1, false, 1, 3, "red", "normal"); });
   c.at(5, [&c] { c.submit(1, false, 1, 60, "red", "normal"); });
@@ -239,197 +239,206 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table, Meetings,
+    Table, OverlappingFaults,
     testing::Values(
-        Meeting{"cancellations_questions_and_repeats_at_the_end_of_the_last_task", kShort, 60,
-                [](Cluster& c) {
-                  c.on_end = [&c](const std::string& id) {
-                    if (c.jobs.at(id).done.size() < c.jobs.at(id).tasks) return;
-                    if (c.random() % 2 && !c.jobs.at(id).asked_cancel) c.cancel(id);
-                    for (std::size_t n = 0; n < 3; ++n) {
-                      const auto& job = c.jobs.at(id);
-                      c.ask_once(n, "POST", "/submissions", json::serialize(job.spec),
-                                 [&c, id](int status, const std::string&) {
-                                   if (status != 200 && status < 500)
-                                     c.broken.push_back("repeat of " + id + " got " + std::to_string(status));
-                                 });
-                    }
-                  };
-                }},
-        Meeting{"team_at_its_limit_leader_changes_machines_unasked_and_a_cancellation", kShort, 90,
-                [](Cluster& c) {
-                  for (int i = 0; i < 8; ++i) c.at(5, [&c] { c.submit(4, false, 1, 40, "red", "normal"); });
-                  c.at(14, [&c] {
-                    hang_those_with_tasks(c, 2, 25);
-                    c.crash(c.busiest(), 20);
-                  });
-                  c.at(15, [&c] { cancel_running(c, 3); });
-                }},
-        Meeting{"leader_ends_while_machines_with_long_tasks_hear_nobody", kShort, 110,
-                [](Cluster& c) {
-                  long_arrays(c, 60);
-                  c.at(15, [&c] {
-                    int n = 0;
-                    for (auto& [_, w] : c.agents)
-                      if (!w.tasks.empty() && n++ < 3) {
-                        w.unreachable = true;
-                        c.at(18, [&w] { w.unreachable = false; });
-                      }
-                    c.crash(c.busiest(), 15);
-                  });
-                }},
-        Meeting{"report_held_back_until_a_new_leader_has_acted", kShort, 100,
-                [](Cluster& c) {
-                  c.faults.copy_after_s = 25;
-                  c.at(13, [&c] { c.faults.copy_report = 1; });
-                  c.at(15, [&c] { c.crash(c.busiest(), 10); });
-                  c.at(16, [&c] { c.faults.copy_report = 0; });
-                }},
-        Meeting{"old_reports_of_earlier_sessions_and_attempts", kShort, 120,
-                [](Cluster& c) {
-                  c.faults.copy_report = 0.5;
-                  for (int i = 0; i < 3; ++i) c.at(13 + 16 * i, [&c] { hang_those_with_tasks(c, 3, 12); });
-                  c.at(70, [&c] { c.faults = {}; });
-                }},
-        Meeting{"more_work_than_room_over_slow_links", kShort, 100,
-                [](Cluster& c) {
-                  c.faults.max_delay_s = 0.4;
-                  load(c, 20, 20);
-                  c.at(100, [&c] { c.faults = {}; });
-                }},
-        Meeting{"hand_over_and_back_all_end_one_returns_within_a_second", kShort, 90,
-                [](Cluster& c) {
-                  long_arrays(c, 30);
-                  c.at(14, [&c] { c.crash(0, 5); });
-                  c.at(28, [&c] {
-                    for (std::size_t n = 0; n < 3; ++n) c.crash(n, n == 1 ? 0.4 : 12);
-                  });
-                }},
-        Meeting{"tasks_of_a_job_end_far_apart_across_a_change_of_leader", kShort, 100,
-                [](Cluster& c) {
-                  for (int i = 0; i < 6; ++i)
-                    c.at(6, [&c, i] { c.submit(2 + i % 2, false, 1, 5, "blue", "normal", false, {}, 18); });
-                  c.at(20, [&c] { c.crash(c.busiest(), 4); });
-                  c.at(40, [&c] { c.crash(c.busiest(), 0.3); });
-                }},
-        Meeting{"leader_cut_from_state_and_members_while_jobs_are_cancelled_through_the_next", kShort, 100,
-                [](Cluster& c) {
-                  long_arrays(c, 70);
-                  c.at(16, [&c] {
-                    const auto node = c.busiest();
-                    c.cut.insert({node, "state"});
-                    c.cut.insert({node, "peers"});
-                    c.at(1, [&c] { cancel_running(c, 2); });
-                    c.at(8, [&c] { cancel_running(c, 2); });
-                    c.at(40, [&c] { c.cut.clear(); });
-                  });
-                }},
-        Meeting{"zone_with_workers_and_a_controller_cut_off_past_the_lease", kMiddle, 110,
-                [](Cluster& c) {
-                  long_arrays(c, 60);
-                  c.at(15, [&c] {
-                    for (const char* what : {"state", "cloud", "peers", "zone a"}) c.cut.insert({1, what});
-                    for (const std::size_t n : {0, 2}) c.cut.insert({n, "zone b"});
-                  });
-                  c.at(18, [&c] { cancel_running(c, 3); });
-                  c.at(45, [&c] { c.cut.clear(); });
-                }},
-        Meeting{"leaders_change_ten_times_also_in_an_outage", kShort, 140,
-                [](Cluster& c) {
-                  long_arrays(c, 50);
-                  for (int i = 0; i < 10; ++i)
-                    c.at(12 + 11 * i, [&c, i] { c.crash(c.busiest(), i % 3 == 0 ? 0.3 : 5); });
-                  c.at(55, [&c] { c.state.outage = true; });
-                  c.at(63, [&c] { c.state.recover(core::Steady::now()); });
-                  c.at(40, [&c] { cancel_running(c, 2); });
-                }},
-        Meeting{"state_service_slow_while_users_cancel_and_ask", kShort, 100,
-                [](Cluster& c) {
-                  long_arrays(c, 40);
-                  c.at(12, [&c] { c.faults.slow_state_s = 0.5; });
-                  for (int i = 0; i < 6; ++i) c.at(14 + i, [&c] { cancel_running(c, 1); });
-                  c.at(60, [&c] { c.faults.slow_state_s = 0; });
-                }},
-        Meeting{"workers_reach_no_controller_while_orders_reach_them", kShort, 100,
-                [](Cluster& c) {
-                  long_arrays(c, 60);
-                  c.at(15, [&c] {
-                    int n = 0;
-                    for (auto& [_, w] : c.agents)
-                      if (n++ % 2 == 0) {
-                        w.mute = true;
-                        c.at(30, [&c, name = w.name] {
-                          if (const auto at = c.agents.find(name); at != c.agents.end())
-                            at->second.mute = false;
+        FaultScenario{
+            "cancellations_queries_and_repeated_submissions_at_the_end_of_the_last_task", kShort, 60,
+            [](Cluster& c) {
+              c.on_end = [&c](const std::string& id) {
+                if (c.jobs.at(id).done.size() < c.jobs.at(id).tasks) return;
+                if (c.random() % 2 && !c.jobs.at(id).asked_cancel) c.cancel(id);
+                for (std::size_t n = 0; n < 3; ++n) {
+                  const auto& job = c.jobs.at(id);
+                  c.ask_once(n, "POST", "/submissions", json::serialize(job.spec),
+                             [&c, id](int status, const std::string&) {
+                               if (status != 200 && status < 500)
+                                 c.broken.push_back("repeat of " + id + " got " + std::to_string(status));
+                             });
+                }
+              };
+            }},
+        FaultScenario{"team_at_its_limit_leader_changes_silent_machines_and_a_cancellation", kShort, 90,
+                      [](Cluster& c) {
+                        for (int i = 0; i < 8; ++i)
+                          c.at(5, [&c] { c.submit(4, false, 1, 40, "red", "normal"); });
+                        c.at(14, [&c] {
+                          hang_those_with_tasks(c, 2, 25);
+                          c.crash(c.busiest(), 20);
                         });
-                      }
-                  });
-                  c.at(16, [&c] { cancel_running(c, 3); });
-                }},
+                        c.at(15, [&c] { cancel_running(c, 3); });
+                      }},
+        FaultScenario{"leader_ends_while_machines_with_long_tasks_are_unreachable", kShort, 110,
+                      [](Cluster& c) {
+                        long_arrays(c, 60);
+                        c.at(15, [&c] {
+                          int n = 0;
+                          for (auto& [_, w] : c.agents)
+                            if (!w.tasks.empty() && n++ < 3) {
+                              w.unreachable = true;
+                              c.at(18, [&w] { w.unreachable = false; });
+                            }
+                          c.crash(c.busiest(), 15);
+                        });
+                      }},
+        FaultScenario{"heartbeat_held_back_until_a_new_leader_has_acted", kShort, 100,
+                      [](Cluster& c) {
+                        c.faults.copy_after_s = 25;
+                        c.at(13, [&c] { c.faults.copy_report = 1; });
+                        c.at(15, [&c] { c.crash(c.busiest(), 10); });
+                        c.at(16, [&c] { c.faults.copy_report = 0; });
+                      }},
+        FaultScenario{"old_heartbeats_of_earlier_incarnations_and_attempts", kShort, 120,
+                      [](Cluster& c) {
+                        c.faults.copy_report = 0.5;
+                        for (int i = 0; i < 3; ++i)
+                          c.at(13 + 16 * i, [&c] { hang_those_with_tasks(c, 3, 12); });
+                        c.at(70, [&c] { c.faults = {}; });
+                      }},
+        FaultScenario{"more_work_than_room_over_slow_links", kShort, 100,
+                      [](Cluster& c) {
+                        c.faults.max_delay_s = 0.4;
+                        load(c, 20, 20);
+                        c.at(100, [&c] { c.faults = {}; });
+                      }},
+        FaultScenario{"leadership_transferred_back_all_end_one_returns_within_a_second", kShort, 90,
+                      [](Cluster& c) {
+                        long_arrays(c, 30);
+                        c.at(14, [&c] { c.crash(0, 5); });
+                        c.at(28, [&c] {
+                          for (std::size_t n = 0; n < 3; ++n) c.crash(n, n == 1 ? 0.4 : 12);
+                        });
+                      }},
+        FaultScenario{"tasks_of_a_job_end_far_apart_across_a_change_of_leader", kShort, 100,
+                      [](Cluster& c) {
+                        for (int i = 0; i < 6; ++i)
+                          c.at(6, [&c, i] {
+                            c.submit(2 + i % 2, false, 1, 5, "blue", "normal", false, {}, 18);
+                          });
+                        c.at(20, [&c] { c.crash(c.busiest(), 4); });
+                        c.at(40, [&c] { c.crash(c.busiest(), 0.3); });
+                      }},
+        FaultScenario{"leader_cut_from_state_and_members_while_jobs_are_cancelled_through_the_next", kShort,
+                      100,
+                      [](Cluster& c) {
+                        long_arrays(c, 70);
+                        c.at(16, [&c] {
+                          const auto node = c.busiest();
+                          c.cut.insert({node, "state"});
+                          c.cut.insert({node, "peers"});
+                          c.at(1, [&c] { cancel_running(c, 2); });
+                          c.at(8, [&c] { cancel_running(c, 2); });
+                          c.at(40, [&c] { c.cut.clear(); });
+                        });
+                      }},
+        FaultScenario{"zone_with_agents_and_a_controller_cut_off_past_the_lease", kMiddle, 110,
+                      [](Cluster& c) {
+                        long_arrays(c, 60);
+                        c.at(15, [&c] {
+                          for (const char* what : {"state", "cloud", "peers", "zone a"})
+                            c.cut.insert({1, what});
+                          for (const std::size_t n : {0, 2}) c.cut.insert({n, "zone b"});
+                        });
+                        c.at(18, [&c] { cancel_running(c, 3); });
+                        c.at(45, [&c] { c.cut.clear(); });
+                      }},
+        FaultScenario{"leaders_change_ten_times_also_in_an_outage", kShort, 140,
+                      [](Cluster& c) {
+                        long_arrays(c, 50);
+                        for (int i = 0; i < 10; ++i)
+                          c.at(12 + 11 * i, [&c, i] { c.crash(c.busiest(), i % 3 == 0 ? 0.3 : 5); });
+                        c.at(55, [&c] { c.state.outage = true; });
+                        c.at(63, [&c] { c.state.recover(core::Steady::now()); });
+                        c.at(40, [&c] { cancel_running(c, 2); });
+                      }},
+        FaultScenario{"key_value_store_slow_while_users_cancel_and_query", kShort, 100,
+                      [](Cluster& c) {
+                        long_arrays(c, 40);
+                        c.at(12, [&c] { c.faults.slow_state_s = 0.5; });
+                        for (int i = 0; i < 6; ++i) c.at(14 + i, [&c] { cancel_running(c, 1); });
+                        c.at(60, [&c] { c.faults.slow_state_s = 0; });
+                      }},
+        FaultScenario{"agents_reach_no_controller_while_commands_reach_them", kShort, 100,
+                      [](Cluster& c) {
+                        long_arrays(c, 60);
+                        c.at(15, [&c] {
+                          int n = 0;
+                          for (auto& [_, w] : c.agents)
+                            if (n++ % 2 == 0) {
+                              w.mute = true;
+                              c.at(30, [&c, name = w.name] {
+                                if (const auto at = c.agents.find(name); at != c.agents.end())
+                                  at->second.mute = false;
+                              });
+                            }
+                        });
+                        c.at(16, [&c] { cancel_running(c, 3); });
+                      }},
         gap_of("gap_on_short_leases", kShort, false), gap_of("gap_on_middle_leases", kMiddle, false),
         gap_of("gap_on_long_leases", kLong, false),
         gap_of("gap_with_the_leader_cut_from_members_short", kShort, true),
         gap_of("gap_with_the_leader_cut_from_members_middle", kMiddle, true),
         gap_of("gap_with_the_leader_cut_from_members_long", kLong, true),
-        Meeting{"cancelled_as_the_leader_is_refused_and_a_second_later_an_outage", kMiddle, 85,
-                [](Cluster& c) {
-                  long_arrays(c, 60);
-                  c.at(20, [&c] {
-                    c.refused.insert(c.busiest());
-                    cancel_running(c, 4);
-                  });
-                  c.at(21, [&c] { c.state.outage = true; });
-                  c.at(21 + 47, [&c] { c.state.recover(core::Steady::now()); });
-                  c.at(34, [&c] { c.refused.clear(); });
-                }},
-        Meeting{"cancelled_on_most_machines_of_a_part_that_hang_past_cancel_s", kMiddle, 100,
-                [](Cluster& c) {
-                  long_arrays(c, 70);
-                  c.at(18, [&c] {
-                    for (auto& [_, w] : c.agents)
-                      if (w.zone == "a") c.hang(w, 60);
-                    cancel_running(c, 5);
-                  });
-                }},
-        Meeting{"jobs_of_one_zone_lose_machines", kShort, 80,
-                [](Cluster& c) {
-                  for (int i = 0; i < 4; ++i)
-                    c.at(6, [&c, i] { c.submit(2 + i, i % 2 == 0, 1, 20, "blue", "normal", false, "a"); });
-                  c.at(14, [&c] {
-                    for (auto& [name, w] : c.agents)
-                      if (w.zone == "a") w.dead = true, c.cloud.hosts[name].dead = true;
-                  });
-                }},
-        Meeting{"all_controllers_away_past_the_lease", kShort, 70,
-                [](Cluster& c) {
-                  long_arrays(c, 40);
-                  c.at(20, [&c] {
-                    for (std::size_t n = 0; n < 3; ++n) c.crash(n, 14 + static_cast<double>(n));
-                  });
-                }},
-        Meeting{"writes_carried_out_late_after_newer_ones", kShort, 110,
-                [](Cluster& c) {
-                  long_arrays(c, 30);
-                  c.at(8, [&c] { c.faults.late_write = 0.1; });
-                  c.at(30, [&c] { c.crash(c.busiest(), 0.5); });
-                  for (int i = 0; i < 5; ++i) c.at(15 + 4 * i, [&c] { cancel_running(c, 1); });
-                  c.at(80, [&c] { c.faults = {}; });
-                }},
-        Meeting{"orders_held_up_on_machines_that_go_on", kMiddle, 100,
-                [](Cluster& c) {
-                  for (int i = 0; i < 12; ++i)
-                    c.at(8 + 2 * i, [&c, i] { c.submit(3, false, 1, 40, i % 2 ? "red" : "blue", "normal"); });
-                  for (int i = 0; i < 5; ++i)
-                    c.at(11 + 5 * i, [&c] {
-                      hang_those_with_tasks(c, 2, 9);
-                      c.at(2.5, [&c] { cancel_running(c, 2); });
-                    });
-                }}),
+        FaultScenario{"cancelled_as_the_leader_is_refused_and_a_second_later_an_outage", kMiddle, 85,
+                      [](Cluster& c) {
+                        long_arrays(c, 60);
+                        c.at(20, [&c] {
+                          c.refused.insert(c.busiest());
+                          cancel_running(c, 4);
+                        });
+                        c.at(21, [&c] { c.state.outage = true; });
+                        c.at(21 + 47, [&c] { c.state.recover(core::Steady::now()); });
+                        c.at(34, [&c] { c.refused.clear(); });
+                      }},
+        FaultScenario{"cancelled_on_most_machines_of_a_partition_that_hang_past_cancel_s", kMiddle, 100,
+                      [](Cluster& c) {
+                        long_arrays(c, 70);
+                        c.at(18, [&c] {
+                          for (auto& [_, w] : c.agents)
+                            if (w.zone == "a") c.hang(w, 60);
+                          cancel_running(c, 5);
+                        });
+                      }},
+        FaultScenario{"jobs_of_one_zone_lose_machines", kShort, 80,
+                      [](Cluster& c) {
+                        for (int i = 0; i < 4; ++i)
+                          c.at(6,
+                               [&c, i] { c.submit(2 + i, i % 2 == 0, 1, 20, "blue", "normal", false, "a"); });
+                        c.at(14, [&c] {
+                          for (auto& [name, w] : c.agents)
+                            if (w.zone == "a") w.dead = true, c.cloud.hosts[name].dead = true;
+                        });
+                      }},
+        FaultScenario{"all_controllers_away_past_the_lease", kShort, 70,
+                      [](Cluster& c) {
+                        long_arrays(c, 40);
+                        c.at(20, [&c] {
+                          for (std::size_t n = 0; n < 3; ++n) c.crash(n, 14 + static_cast<double>(n));
+                        });
+                      }},
+        FaultScenario{"writes_carried_out_late_after_newer_ones", kShort, 110,
+                      [](Cluster& c) {
+                        long_arrays(c, 30);
+                        c.at(8, [&c] { c.faults.late_write = 0.1; });
+                        c.at(30, [&c] { c.crash(c.busiest(), 0.5); });
+                        for (int i = 0; i < 5; ++i) c.at(15 + 4 * i, [&c] { cancel_running(c, 1); });
+                        c.at(80, [&c] { c.faults = {}; });
+                      }},
+        FaultScenario{"commands_held_up_on_machines_that_go_on", kMiddle, 100,
+                      [](Cluster& c) {
+                        for (int i = 0; i < 12; ++i)
+                          c.at(8 + 2 * i,
+                               [&c, i] { c.submit(3, false, 1, 40, i % 2 ? "red" : "blue", "normal"); });
+                        for (int i = 0; i < 5; ++i)
+                          c.at(11 + 5 * i, [&c] {
+                            hang_those_with_tasks(c, 2, 9);
+                            c.at(2.5, [&c] { cancel_running(c, 2); });
+                          });
+                      }}),
     [](const auto& info) { return std::string(info.param.name); });
 
 // Several of these troubles at once, drawn at random, with cancellations into them: nothing may break.
-class RandomMeeting : public testing::TestWithParam<std::uint32_t> {};
-TEST_P(RandomMeeting, KeepsTheRules) {
+class RandomOverlappingFaults : public testing::TestWithParam<std::uint32_t> {};
+TEST_P(RandomOverlappingFaults, KeepsTheRules) {
   const Timing timings[] = {kShort, kMiddle, kLong};
   Cluster c(GetParam(), 3, 3, timings[GetParam() % 3]);
   std::mt19937 dice(GetParam() * 104729);
@@ -497,7 +506,7 @@
   c.run(170);
   expect_rules(c);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomMeeting, testing::Range(300u, 312u));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomOverlappingFaults, testing::Range(300u, 312u));
 
 }  // namespace
 }  // namespace finchrun::sim
--- a/tests/app/services_test.cpp
+++ b/tests/app/services_test.cpp
@@ -85,13 +85,13 @@
   EXPECT_EQ(running()[lost == "a" ? "b" : "a"], 2);
 }
 
-struct Day {
+struct FaultScenario {
   const char* name;
   std::function<void(Cluster&)> job_failures;
   double most_missed;
 };
-class StandingDay : public testing::TestWithParam<Day> {};
-TEST_P(StandingDay, KeepsTheRulesAndServes) {
+class ServiceFaults : public testing::TestWithParam<FaultScenario> {};
+TEST_P(ServiceFaults, KeepsTheRulesAndServes) {
   for (const std::uint32_t seed : {7u, 8u}) {
     Cluster c(seed);
     load(c, 9, 30);
@@ -104,38 +104,39 @@
     EXPECT_LT(missed(c), GetParam().most_missed) << "seed " << seed;
   }
 }
-INSTANTIATE_TEST_SUITE_P(Table, StandingDay,
-                         testing::Values(Day{"nothing_happens", [](Cluster&) {}, 0.01},
-                                         Day{"rolling_restart",
-                                             [](Cluster& c) {
-                                               for (std::size_t n = 0; n < 3; ++n)
-                                                 c.at(20 + 10 * static_cast<double>(n),
-                                                      [&c, n] { c.crash(n, 3); });
-                                             },
-                                             0.02},
-                                         Day{"all_controllers_crash",
-                                             [](Cluster& c) {
-                                               for (std::size_t n = 0; n < 3; ++n)
-                                                 c.at(25, [&c, n] { c.crash(n, 3); });
-                                             },
-                                             0.02},
-                                         Day{"state_outage",
-                                             [](Cluster& c) {
-                                               c.at(25, [&c] { c.state.outage = true; });
-                                               c.at(45, [&c] { c.state.recover(core::Steady::now()); });
-                                             },
-                                             0.02},
-                                         Day{"a_machine_dies",
-                                             [](Cluster& c) {
-                                               c.at(30, [&c] {
-                                                 for (auto& [name, w] : c.agents) {
-                                                   if (w.tasks.empty()) continue;
-                                                   w.dead = c.cloud.hosts[name].dead = true;
-                                                   return;
-                                                 }
-                                               });
-                                             },
-                                             0.12}),
+INSTANTIATE_TEST_SUITE_P(Table, ServiceFaults,
+                         testing::Values(FaultScenario{"nothing_happens", [](Cluster&) {}, 0.01},
+                                         FaultScenario{"rolling_restart",
+                                                       [](Cluster& c) {
+                                                         for (std::size_t n = 0; n < 3; ++n)
+                                                           c.at(20 + 10 * static_cast<double>(n),
+                                                                [&c, n] { c.crash(n, 3); });
+                                                       },
+                                                       0.02},
+                                         FaultScenario{"all_controllers_crash",
+                                                       [](Cluster& c) {
+                                                         for (std::size_t n = 0; n < 3; ++n)
+                                                           c.at(25, [&c, n] { c.crash(n, 3); });
+                                                       },
+                                                       0.02},
+                                         FaultScenario{"store_outage",
+                                                       [](Cluster& c) {
+                                                         c.at(25, [&c] { c.state.outage = true; });
+                                                         c.at(45,
+                                                              [&c] { c.state.recover(core::Steady::now()); });
+                                                       },
+                                                       0.02},
+                                         FaultScenario{"a_machine_dies",
+                                                       [](Cluster& c) {
+                                                         c.at(30, [&c] {
+                                                           for (auto& [name, w] : c.agents) {
+                                                             if (w.tasks.empty()) continue;
+                                                             w.dead = c.cloud.hosts[name].dead = true;
+                                                             return;
+                                                           }
+                                                         });
+                                                       },
+                                                       0.12}),
                          [](const auto& info) { return std::string(info.param.name); });
 
 struct Fall {
