--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -11,18 +11,20 @@
 
 namespace finchrun::core {
 
-// One socket's deadline.
+/// One socket's deadline.
 struct Deadline {
   boost::asio::ip::tcp::socket* socket = nullptr;
   TimePoint at;
 };
 
+/// The deadlines of any number of sockets, kept by one timer that runs while there are any.
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
  public:
-  Deadlines(boost::asio::any_io_executor executor, std::chrono::milliseconds tick)
-      : timer_(std::move(executor)), tick_(tick) {}
+  /// `tick`: how exactly deadlines are kept.
+  Deadlines(const boost::asio::any_io_executor& executor, std::chrono::milliseconds tick)
+      : timer_(executor), tick_(tick) {}
 
-  // Closes the socket once its time has come, to within a tick. Lives no longer than the socket.
+  /// Closes the socket once its time has come, to within a tick. Lives no longer than the socket.
   class Guard {
    public:
     Guard(std::shared_ptr<Deadlines> all, boost::asio::ip::tcp::socket& socket, TimePoint at)
@@ -54,11 +56,11 @@
   }
   void sweep() {
     const auto now = Steady::now();
-    for (auto& d : entries_) {
-      if (d.at > now) continue;
+    for (auto& deadline : entries_) {
+      if (deadline.at > now) continue;
       boost::system::error_code ignored;
-      d.socket->close(ignored);
-      d.at = TimePoint::max();
+      deadline.socket->close(ignored);
+      deadline.at = TimePoint::max();
     }
   }
 
--- a/src/core/ids.hpp
+++ b/src/core/ids.hpp
@@ -14,6 +14,7 @@
 
 namespace finchrun::core {
 
+/// A dense index of one kind: ids of different kinds can't be mixed up.
 template <class Tag>
 struct Id {
   static constexpr std::uint32_t kNone = std::numeric_limits<std::uint32_t>::max();
@@ -32,10 +33,11 @@
 using PartitionId = Id<struct PartitionTag>;
 using ShardId = Id<struct ShardTag>;
 
-// Maps names to dense indices, in the order in which they were first seen.
+/// Maps names to dense indices, in the order in which they were first seen.
 template <class IdT>
 class Interner {
  public:
+  /// The name's id, a new one if it has none.
   IdT intern(std::string_view name) {
     if (auto it = index_.find(std::string(name)); it != index_.end()) return it->second;
     IdT id{static_cast<std::uint32_t>(names_.size())};
--- a/src/core/locked.hpp
+++ b/src/core/locked.hpp
@@ -6,12 +6,14 @@
 
 namespace finchrun::core {
 
+/// A value that is reached under its lock only.
 template <class T>
 class Locked {
  public:
   template <class... Args>
   explicit Locked(Args&&... args) : value_(std::forward<Args>(args)...) {}
 
+  /// Calls `f` with the value, under the lock. What it returns must not refer into the value.
   template <class F>
   auto with(F&& f) {
     std::scoped_lock lock(mutex_);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -79,7 +79,7 @@
   beast::flat_buffer buffer;
   while (true) {
     bhttp::request_parser<bhttp::string_body> parser;
-    parser.body_limit(kMaxBody);
+    parser.body_limit(kMaxBodyBytes);
     guard.move_to(core::Steady::now() + kIdle);
     ec = co_await receive(socket, buffer, parser);
     if (auto refusal = refusal_of(ec)) {
