--- a/src/assignments/commit_refusal.hpp
+++ b/src/assignments/commit_refusal.hpp
@@ -10,8 +10,6 @@
 
 namespace finchrun::assignments {
 
-/// The status as it stands in log lines.
-std::string_view commit_status_name(state::CommitStatus status);
 /// A conflict is expected among several writers; a malformed transaction is a fault of ours; the rest an
 /// on-call engineer may look at.
 spdlog::level::level_enum refusal_level(state::CommitStatus status);
--- a/src/assignments/open_shards.cpp
+++ b/src/assignments/open_shards.cpp
@@ -2,8 +2,6 @@
 
 namespace finchrun::assignments {
 
-namespace json = boost::json;
-
 OpenShards::OpenShards(const ControllerState& state, core::PartitionId partition,
                        PlannedTombstones& tombstones, std::size_t max_shards)
     : state_(state),
@@ -117,10 +115,7 @@
   for (const auto& [name, shard] : shards_) {
     const auto key = state::keys::shard(partition, name);
     transaction.require(key, shard.revision);
-    json::object jobs;
-    for (const auto& [job, held] : shard.jobs)
-      if (!held.empty()) jobs[state_.names.jobs.name(job)] = jobs::to_json(held, state_.names);
-    transaction.writes.push_back({key, json::object{{"jobs", std::move(jobs)}}});
+    transaction.writes.push_back({key, state::encode_shard(shard.jobs, state_.names)});
   }
 }
 
--- a/src/assignments/planned_tombstones.cpp
+++ b/src/assignments/planned_tombstones.cpp
@@ -104,17 +104,7 @@
   if (!changed_) return;
   const auto key = state::keys::tombstones(state_.names.partitions.name(partition_));
   transaction.require(key, state_.cache.tombstones(partition_).revision);
-  json::object list;
-  for (const auto& [name, jobs] : shards_) {
-    json::object of_shard;
-    for (const auto& [job, items] : jobs) {
-      json::array of_job;
-      for (const auto& item : items) of_job.push_back(state::to_json(item));
-      of_shard[state_.names.jobs.name(job)] = std::move(of_job);
-    }
-    list[name] = std::move(of_shard);
-  }
-  transaction.writes.push_back({key, std::move(list)});
+  transaction.writes.push_back({key, state::encode(shards_, state_.names)});
 }
 
 }  // namespace finchrun::assignments
--- a/src/assignments/write_fences.cpp
+++ b/src/assignments/write_fences.cpp
@@ -9,7 +9,6 @@
 
 namespace finchrun::assignments {
 
-namespace json = boost::json;
 using state::CommitStatus;
 
 std::vector<core::PartitionId> partitions_fenced_by(const ControllerState& state,
@@ -33,7 +32,7 @@
     const auto& name = state.names.partitions.name(partition);
     FenceMove move{partition, {}};
     move.transaction.compares.push_back({state::keys::partition(name), state.fencing_token(partition)});
-    move.transaction.writes.push_back({state::keys::fence(name), json::value(state.cache.newest())});
+    move.transaction.writes.push_back({state::keys::fence(name), state::encode_fence(state.cache.newest())});
     moves.push_back(std::move(move));
   }
   return moves;
--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership.cpp
@@ -8,7 +8,6 @@
 
 namespace {
 
-namespace json = boost::json;
 using controller::ControllerState;
 
 constexpr double kDecisionIntervalS = 0.25;
@@ -89,10 +88,6 @@
   return oldest;
 }
 
-json::value leadership_value(const std::string& leader, std::uint64_t incarnation) {
-  return json::object{{"owner", leader}, {"inc", incarnation}};
-}
-
 // Nothing while the cache doesn't show this process as a member.
 std::optional<state::Transaction> acquisition(const ControllerState& state,
                                               const AcquireLeadership& decision) {
@@ -106,7 +101,7 @@
   // Its own label's earlier process is dead; another leader must have lost its membership.
   if (!decision.from.empty() && decision.from != label)
     transaction.compares.push_back({state::keys::member(decision.from), 0});
-  transaction.writes.push_back({key, leadership_value(label, state.incarnation)});
+  transaction.writes.push_back({key, state::encode(state::LeadershipRecord{label, state.incarnation, 0})});
   return transaction;
 }
 
@@ -119,7 +114,8 @@
   state::Transaction transaction;
   transaction.compares.push_back({key, state.cache.leadership(decision.partition).revision});
   transaction.compares.push_back({state::keys::member(decision.to), successor->revision});
-  transaction.writes.push_back({key, leadership_value(decision.to, successor->incarnation)});
+  transaction.writes.push_back(
+      {key, state::encode(state::LeadershipRecord{decision.to, successor->incarnation, 0})});
   return transaction;
 }
 
--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -65,15 +65,12 @@
 }
 
 json::value to_record(const ControllerState& state, const QuotaShares& shares) {
-  json::object partitions;
+  state::QuotaRecord record;
   for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
     const core::PartitionId partition{p};
-    const auto& share = shares.share(partition);
-    const auto& requested = shares.requested(partition);
-    partitions[state.names.partitions.name(partition)] =
-        json::array{share.cpus, share.gpus, requested.cpus, requested.gpus};
+    record.partitions.emplace_back(shares.share(partition), shares.requested(partition));
   }
-  return json::object{{"parts", std::move(partitions)}};
+  return state::encode(record, state.names);
 }
 
 // Nothing if the team's record stays as it is.
--- a/src/scheduling/usage_recorder.cpp
+++ b/src/scheduling/usage_recorder.cpp
@@ -1,32 +1,9 @@
 #include "scheduling/usage_recorder.hpp"
 
-#include <cmath>
-
 namespace finchrun::scheduling {
 
-namespace {
-
-namespace json = boost::json;
 using controller::ControllerState;
 
-// The stored form. Newest windows first; those are left out that would make the value too long.
-json::value to_record(const ledger::UsageWindows& usage, std::size_t max_bytes) {
-  constexpr std::size_t kBytesAroundWindows = 48;
-  std::size_t bytes = kBytesAroundWindows;
-  json::array windows;
-  for (const auto& window : usage.windows()) {
-    json::array values;
-    for (const double core_seconds : window)
-      values.push_back(static_cast<std::int64_t>(std::llround(core_seconds)));
-    bytes += json::serialize(values).size() + 1;
-    if (bytes > max_bytes) break;
-    windows.push_back(std::move(values));
-  }
-  return json::object{{"i", usage.index()}, {"w", std::move(windows)}};
-}
-
-}  // namespace
-
 std::vector<state::Transaction> plan_usage_records(const ControllerState& state) {
   std::vector<state::Transaction> transactions;
   for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
@@ -36,8 +13,9 @@
     const auto& name = state.names.partitions.name(partition);
     state::Transaction transaction;
     transaction.compares.push_back({state::keys::partition(name), fencing_token});
+    const state::UsageRecord usage{state.usage[p].index(), state.usage[p].windows(), 0};
     transaction.writes.push_back(
-        {state::keys::usage(name), to_record(state.usage[p], state.settings.state_limits.value_bytes())});
+        {state::keys::usage(name), state::encode(usage, state.settings.state_limits.value_bytes())});
     transactions.push_back(std::move(transaction));
   }
   return transactions;
--- a/tests/autoscaling/scale_in_plan_test.cpp
+++ b/tests/autoscaling/scale_in_plan_test.cpp
@@ -25,16 +25,16 @@
 /// The partition "a.0", which we lead, and in it the machine "m", healthy and empty.
 struct Scene : SinglePartition {
   Scene() : SinglePartition(settings()) {
-    w.synchronized_at = ago(0.1);
-    w.tuning.idle_return_s = 600;
-    w.fleet.machine_types = {{"cpu.4", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}}};
-    w.fleet.machine_type_ids = {w.names.types.intern("cpu.4")};
+    state.synchronized_at = ago(0.1);
+    state.tuning.idle_return_s = 600;
+    state.fleet.machine_types = {{"cpu.4", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}}};
+    state.fleet.machine_type_ids = {state.names.types.intern("cpu.4")};
     healthy("m");
   }
   agent::Machine& healthy(const std::string& name) {
-    auto& machine = w.fleet.intern(w.names, name);
+    auto& machine = state.fleet.intern(state.names, name);
     machine.partition = partition;
-    machine.type = w.fleet.machine_type_ids[0];
+    machine.type = state.fleet.machine_type_ids[0];
     machine.first_seen = ago(9000);
     machine.listed = machine.ever_listed = true;
     machine.status = "running";
@@ -42,19 +42,20 @@
     machine.last_heartbeat = machine.idle_since = ago(1);
     return machine;
   }
-  agent::Machine& machine() { return *w.fleet.find(*w.names.machines.find("m")); }
+  agent::Machine& machine() { return *state.fleet.find(*state.names.machines.find("m")); }
   void silent(double seconds) { machine().last_heartbeat = ago(seconds); }
   void place_task(bool cancelled = false) {
     const auto id = job("req-1", 1, false);
     jobs::JobAssignments run;
     run.assignments = {{0, 7, machine().id, 2}};
-    w.cache.apply({"runs/a.0/0",
-                   boost::json::object{{"jobs", boost::json::object{{"req-1", jobs::to_json(run, w.names)}}}},
-                   ++revision});
+    state.cache.apply(
+        {"runs/a.0/0",
+         boost::json::object{{"jobs", boost::json::object{{"req-1", jobs::to_json(run, state.names)}}}},
+         ++revision});
     if (!cancelled) return;
-    auto record = *w.cache.job(id);
+    auto record = *state.cache.job(id);
     record.status = jobs::Status::cancelled;
-    w.cache.apply({"jobs/req-1", jobs::to_json(record, w.names), ++revision});
+    state.cache.apply({"jobs/req-1", jobs::to_json(record, state.names), ++revision});
   }
 };
 
@@ -68,7 +69,7 @@
   Scene scene;
   GetParam().arrange(scene);
   std::optional<ScaleInReason> reason;
-  for (const auto& decision : plan_scale_in(scene.w, kNow))
+  for (const auto& decision : plan_scale_in(scene.state, kNow))
     if (decision.name == "m") reason = decision.reason;
   EXPECT_EQ(reason, GetParam().reason);
 }
@@ -94,13 +95,13 @@
         Case{"state_is_not_current",
              [](Scene& s) {
                s.machine().status = "failed";
-               s.w.synchronized_at = ago(1.6);
+               s.state.synchronized_at = ago(1.6);
              },
              kKept},
         Case{"another_controller_leads",
              [](Scene& s) {
                s.machine().status = "failed";
-               s.w.incarnation = 8;
+               s.state.incarnation = 8;
              },
              kKept},
         Case{"in_use_unlisted_and_silent",
@@ -147,7 +148,7 @@
              [](Scene& s) {
                s.healthy("other");
                s.silent(46);
-               s.w.leading_since[0] = ago(20);
+               s.state.leading_since[0] = ago(20);
              },
              kKept},
         Case{"silent_like_most_of_its_partition", [](Scene& s) { s.silent(119); }, kKept},
@@ -201,7 +202,7 @@
 TEST(ScaleInPlan, ReturnsAtMostOneRequestFullAtOnce) {
   Scene scene;
   for (int i = 0; i < 60; ++i) scene.healthy("host-" + std::to_string(i)).status = "failed";
-  EXPECT_EQ(plan_scale_in(scene.w, kNow).size(), kMostReturnedAtOnce);
+  EXPECT_EQ(plan_scale_in(scene.state, kNow).size(), kMostReturnedAtOnce);
 }
 
 }  // namespace
--- a/tests/autoscaling/scale_out_plan_test.cpp
+++ b/tests/autoscaling/scale_out_plan_test.cpp
@@ -16,16 +16,16 @@
 /// The partition "a.0", which we lead, and two machine types: "cpu.4" and, dearer, "gpu.1".
 struct Scene : SinglePartition {
   Scene() {
-    w.fleet.machine_types = {{"cpu.4", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}},
-                             {"gpu.1", {8, 1, 64}, 50, 1, 20, 6, 60, {"a"}},
-                             {"cpu.far", {4, 0, 16}, 50, 1, 0.1, 0.1, 60, {"b"}}};
-    for (const auto& type : w.fleet.machine_types)
-      w.fleet.machine_type_ids.push_back(w.names.types.intern(type.name));
+    state.fleet.machine_types = {{"cpu.4", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}},
+                                 {"gpu.1", {8, 1, 64}, 50, 1, 20, 6, 60, {"a"}},
+                                 {"cpu.far", {4, 0, 16}, 50, 1, 0.1, 0.1, 60, {"b"}}};
+    for (const auto& type : state.fleet.machine_types)
+      state.fleet.machine_type_ids.push_back(state.names.types.intern(type.name));
   }
   agent::Machine& machine(const std::string& name, std::uint32_t type, bool spot, const char* status) {
-    auto& machine = w.fleet.intern(w.names, name);
+    auto& machine = state.fleet.intern(state.names, name);
     machine.partition = partition;
-    machine.type = w.fleet.machine_type_ids.at(type);
+    machine.type = state.fleet.machine_type_ids.at(type);
     machine.spot = spot;
     machine.status = status;
     machine.has_heartbeat = machine.status == "running";
@@ -44,7 +44,7 @@
     sched::JobClassProfile job_class;
     job_class.spot = true;
     job_class.tasks = 3;
-    w.job_classes.push_back(job_class);
+    state.job_classes.push_back(job_class);
   }
   scheduling::Backlog backlog;
   CapacityBackoff backoff;
@@ -66,7 +66,7 @@
   Scene scene;
   GetParam().arrange(scene);
   Needed needed;
-  for (const auto& request : plan_scale_out(scene.w, scene.backlog, scene.backoff, kNow))
+  for (const auto& request : plan_scale_out(scene.state, scene.backlog, scene.backoff, kNow))
     needed.emplace_back(request.kind, request.machines);
   EXPECT_EQ(needed, GetParam().needed);
 }
@@ -76,14 +76,14 @@
                     Case{"machine_types_unknown",
                          [](Scene& s) {
                            s.demand(8);
-                           s.w.fleet.machine_types.clear();
-                           s.w.fleet.machine_type_ids.clear();
+                           s.state.fleet.machine_types.clear();
+                           s.state.fleet.machine_type_ids.clear();
                          },
                          {}},
                     Case{"another_controller_leads",
                          [](Scene& s) {
                            s.demand(8);
-                           s.w.incarnation = 8;
+                           s.state.incarnation = 8;
                          },
                          {}},
                     Case{"cheapest_per_task_in_the_zone", [](Scene& s) { s.demand(8); }, {{kCpu, 2}}},
@@ -96,7 +96,7 @@
                          {{kCpu, 1.5}}},
                     Case{"spot_where_allowed", [](Scene& s) { s.demand(8).spot = true; }, {{kCpuSpot, 2}}},
                     Case{"only_the_type_asked_for",
-                         [](Scene& s) { s.demand(8).types = {s.w.fleet.machine_type_ids[1]}; },
+                         [](Scene& s) { s.demand(8).types = {s.state.fleet.machine_type_ids[1]}; },
                          {{kGpu, 1}}},
                     Case{"only_what_fits_a_machine",
                          [](Scene& s) {
@@ -122,7 +122,7 @@
                          {{kCpu, 2.5}}},
                     Case{"team_limit",
                          [](Scene& s) {
-                           s.w.settings.teams[0].cpus_max = 6;
+                           s.state.settings.teams[0].cpus_max = 6;
                            s.demand(8);
                            s.demand(8);
                          },
@@ -186,11 +186,11 @@
 TEST(ScaleOutPlan, EquallyNeededKindsComeInTheOrderOfTheirJoinedNames) {
   Scene scene;
   // "cpu.4-a|" sorts before "cpu.4|", though "cpu.4" alone sorts before "cpu.4-a".
-  scene.w.fleet.machine_types.push_back({"cpu.4-a", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}});
-  scene.w.fleet.machine_type_ids.push_back(scene.w.names.types.intern("cpu.4-a"));
-  scene.demand(4).types = {scene.w.fleet.machine_type_ids[0]};
-  scene.demand(4).types = {scene.w.fleet.machine_type_ids[3]};
-  const auto requests = plan_scale_out(scene.w, scene.backlog, scene.backoff, kNow);
+  scene.state.fleet.machine_types.push_back({"cpu.4-a", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}});
+  scene.state.fleet.machine_type_ids.push_back(scene.state.names.types.intern("cpu.4-a"));
+  scene.demand(4).types = {scene.state.fleet.machine_type_ids[0]};
+  scene.demand(4).types = {scene.state.fleet.machine_type_ids[3]};
+  const auto requests = plan_scale_out(scene.state, scene.backlog, scene.backoff, kNow);
   ASSERT_EQ(requests.size(), 2u);
   EXPECT_EQ(requests[0].kind.type, "cpu.4-a");
   EXPECT_EQ(requests[1].kind.type, "cpu.4");
--- a/tests/controller/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -185,15 +185,15 @@
 TEST(ControllerState, JobClassesFadeWhenTheirJobsAreOver) {
   SinglePartition p;
   const auto id = p.job("req", 50, jobs::Shape::array);
-  p.w.observe_job_classes();
-  ASSERT_EQ(p.w.job_classes.size(), 1u);
-  EXPECT_DOUBLE_EQ(p.w.job_classes[0].tasks, 50);
-  auto record = *p.w.cache.job(id);
+  p.state.observe_job_classes();
+  ASSERT_EQ(p.state.job_classes.size(), 1u);
+  EXPECT_DOUBLE_EQ(p.state.job_classes[0].tasks, 50);
+  auto record = *p.state.cache.job(id);
   record.status = jobs::Status::cancelled;
   record.ranges.clear();
-  p.w.cache.apply({"jobs/req", jobs::to_json(record, p.w.names), ++p.revision});
-  p.w.observe_job_classes();
-  EXPECT_DOUBLE_EQ(p.w.job_classes[0].tasks, 49);
+  p.state.cache.apply({"jobs/req", jobs::to_json(record, p.state.names), ++p.revision});
+  p.state.observe_job_classes();
+  EXPECT_DOUBLE_EQ(p.state.job_classes[0].tasks, 49);
 }
 
 }  // namespace
--- a/tests/controller/quota_usage_test.cpp
+++ b/tests/controller/quota_usage_test.cpp
@@ -11,7 +11,7 @@
 using assignments::SinglePartition;
 
 void apply_job(SinglePartition& p, const std::string& name, jobs::JobRecord record) {
-  p.w.cache.apply({"jobs/" + name, jobs::to_json(record, p.w.names), ++p.revision});
+  p.state.cache.apply({"jobs/" + name, jobs::to_json(record, p.state.names), ++p.revision});
 }
 
 // A job of four tasks of two accelerators each, of which three are on machines.
@@ -24,10 +24,10 @@
 TEST_P(UsedByPartition, CountsWhatMayStillRun) {
   SinglePartition p;
   const auto id = p.job("req", 4, jobs::Shape::array);
-  auto record = *p.w.cache.job(id);
+  auto record = *p.state.cache.job(id);
   record.spec.need = {0, 2, 0};
   apply_job(p, "req", record);
-  assignments::AssignmentWriter writer(p.w, p.partition);
+  assignments::AssignmentWriter writer(p.state, p.partition);
   ASSERT_TRUE(writer.add(id, p.assignments(3, 9)));
   assignments::PlannedTransaction transaction;
   writer.finish(transaction);
@@ -35,15 +35,15 @@
   for (auto exit : GetParam().exits) {
     exit.job = id;
     exit.partition = p.partition;
-    p.w.fleet.observed_exits.insert(exit);
+    p.state.fleet.observed_exits.insert(exit);
   }
-  EXPECT_DOUBLE_EQ(used_by_partition(p.w.settings, p.w.cache, p.w.fleet)[0][0].gpus, GetParam().used);
-  EXPECT_DOUBLE_EQ(p.w.used_by_team()[0].gpus, GetParam().used);
+  EXPECT_DOUBLE_EQ(used_by_partition(p.state.settings, p.state.cache, p.state.fleet)[0][0].gpus, GetParam().used);
+  EXPECT_DOUBLE_EQ(p.state.used_by_team()[0].gpus, GetParam().used);
   // A job that is over still uses what its tasks hold until they are gone.
   record.status = jobs::Status::cancelled;
   record.ranges.clear();
   apply_job(p, "req", record);
-  EXPECT_DOUBLE_EQ(used_by_partition(p.w.settings, p.w.cache, p.w.fleet)[0][0].gpus, GetParam().used);
+  EXPECT_DOUBLE_EQ(used_by_partition(p.state.settings, p.state.cache, p.state.fleet)[0][0].gpus, GetParam().used);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, UsedByPartition,
@@ -68,14 +68,14 @@
   SinglePartition p(settings);
   for (int i : {2, 0, 1}) {  // read in another order than submitted
     const auto name = "req-" + std::to_string(i);
-    auto record = *p.w.cache.job(p.job(name, 2, jobs::Shape::array));
+    auto record = *p.state.cache.job(p.job(name, 2, jobs::Shape::array));
     record.spec.need = c.need[i];
     record.spec.submitted_s = 1000 + i;
     apply_job(p, name, record);
   }
-  const auto within = within_guarantee(p.w.settings, p.w.cache);
+  const auto within = within_guarantee(p.state.settings, p.state.cache);
   for (int i = 0; i < 3; ++i)
-    EXPECT_EQ(within.contains(*p.w.names.jobs.find("req-" + std::to_string(i))), c.within[i]) << i;
+    EXPECT_EQ(within.contains(*p.state.names.jobs.find("req-" + std::to_string(i))), c.within[i]) << i;
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, WithinGuarantee,
--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -23,15 +23,15 @@
 // it.
 struct Leader : SinglePartition {
   Leader() {
-    w.synchronized_at = kNow;
-    w.settings.lease_s = 10;
-    w.settings.cancel_s = 30;
+    state.synchronized_at = kNow;
+    state.settings.lease_s = 10;
+    state.settings.cancel_s = 30;
     job_id = job("req-1", 2, false);
     assign(job_id, assignments(1, 7));
     machine = add_machine(0);
   }
   agent::Machine* add_machine(int i) {
-    auto& added = w.fleet.intern(w.names, "host-" + std::to_string(100000 + i));
+    auto& added = state.fleet.intern(state.names, "host-" + std::to_string(100000 + i));
     added.partition = partition;
     added.endpoint = "10.1.0.1:9000";
     added.has_heartbeat = true;
@@ -44,13 +44,13 @@
   void assign(core::JobId id, std::vector<jobs::TaskAssignment> assigned) {
     jobs::JobAssignments run;
     run.assignments = std::move(assigned);
-    boost::json::object stored{{w.names.jobs.name(id), jobs::to_json(run, w.names)}};
-    w.cache.apply({"runs/a.0/0", boost::json::object{{"jobs", std::move(stored)}}, ++revision});
+    boost::json::object stored{{state.names.jobs.name(id), jobs::to_json(run, state.names)}};
+    state.cache.apply({"runs/a.0/0", boost::json::object{{"jobs", std::move(stored)}}, ++revision});
   }
   void cancel() {
-    auto record = *w.cache.job(job_id);
+    auto record = *state.cache.job(job_id);
     record.status = jobs::Status::cancelled;
-    w.cache.apply({"jobs/req-1", jobs::to_json(record, w.names), ++revision});
+    state.cache.apply({"jobs/req-1", jobs::to_json(record, state.names), ++revision});
   }
   wire::Heartbeat heartbeat() const {
     wire::Heartbeat heartbeat;
@@ -76,7 +76,7 @@
 TEST_P(Probes, GoToAgentsThatMayNotObeyOrNotReachUs) {
   Leader leader;
   GetParam().change(leader);
-  EXPECT_EQ(!machines_to_probe(leader.w, kNow).empty(), GetParam().expected);
+  EXPECT_EQ(!machines_to_probe(leader.state, kNow).empty(), GetParam().expected);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, Probes,
@@ -105,7 +105,7 @@
         Case{"another_leads",
              [](Leader& l) {
                l.machine->fencing_token = 1;
-               l.w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-1","inc":2})"), 90});
+               l.state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-1","inc":2})"), 90});
              },
              false}),
     name_of_case);
@@ -118,10 +118,10 @@
     machine->last_probe = ago(60 + i);
   }
   leader.machine->fencing_token = kToken - 1;
-  const auto due = machines_to_probe(leader.w, kNow);
+  const auto due = machines_to_probe(leader.state, kNow);
   ASSERT_EQ(due.size(), 16u);
   EXPECT_EQ(due[0], leader.machine->id);
-  EXPECT_EQ(leader.w.names.machines.name(due[1]), "host-100020");
+  EXPECT_EQ(leader.state.names.machines.name(due[1]), "host-100020");
 }
 
 class DirectStarts : public testing::TestWithParam<Case> {};
@@ -131,7 +131,7 @@
   std::vector<Command> commands{{Command::Kind::start, "req-1", 0, 7, 0},
                                 {Command::Kind::stop, "req-2", 0, 3, 0}};
   std::vector<agent::TaskAttempt> starts{{leader.job_id, 0, 7}};
-  drop_void_starts(leader.w, *leader.machine, kNow, commands, starts);
+  drop_void_starts(leader.state, *leader.machine, kNow, commands, starts);
   EXPECT_EQ(starts.size(), GetParam().expected ? 1u : 0u);
   EXPECT_EQ(commands.size(), GetParam().expected ? 2u : 1u);
   EXPECT_EQ(commands.back().kind, Command::Kind::stop);
@@ -175,15 +175,15 @@
   Leader leader;
   CommandAnswer none;
   none.delivery = Delivery::no_answer;
-  note_answer(leader.w, leader.machine->id, 2, none, kNow);
+  note_answer(leader.state, leader.machine->id, 2, none, kNow);
   EXPECT_FALSE(leader.machine->unreachable());
-  note_answer(leader.w, leader.machine->id, 1, none, kNow);
+  note_answer(leader.state, leader.machine->id, 1, none, kNow);
   EXPECT_TRUE(leader.machine->unreachable());
   CommandAnswer executed;
   executed.delivery = Delivery::executed;
   executed.heartbeat = leader.heartbeat();
   executed.heartbeat->sequence = 5;
-  note_answer(leader.w, leader.machine->id, 1, executed, kNow);
+  note_answer(leader.state, leader.machine->id, 1, executed, kNow);
   EXPECT_FALSE(leader.machine->unreachable());
   EXPECT_FALSE(leader.machine->direct_command_failed_at);
   EXPECT_EQ(leader.machine->sequence, 5u);
@@ -193,11 +193,11 @@
 
 TEST(Stops, AreRepeatedWithGrowingPauses) {
   Leader leader;
-  EXPECT_TRUE(take_due_stops(leader.w, 0, kNow, exactly).empty());
+  EXPECT_TRUE(take_due_stops(leader.state, 0, kNow, exactly).empty());
   leader.cancel();
   std::vector<double> sent_at;
   for (double s = 0; s < 32; s += 0.5)
-    if (!take_due_stops(leader.w, 0, kNow + core::secs(s), exactly).empty()) sent_at.push_back(s);
+    if (!take_due_stops(leader.state, 0, kNow + core::secs(s), exactly).empty()) sent_at.push_back(s);
   EXPECT_EQ(sent_at, (std::vector<double>{0, 1, 3, 7, 15, 23, 31}));
 }
 
@@ -206,7 +206,7 @@
   Leader leader;
   leader.cancel();
   GetParam().change(leader);
-  const auto stops = take_due_stops(leader.w, 0, kNow, exactly);
+  const auto stops = take_due_stops(leader.state, 0, kNow, exactly);
   EXPECT_EQ(stops.contains(leader.machine->id), GetParam().expected);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -214,7 +214,7 @@
     testing::Values(Case{"assigned", [](Leader&) {}, true},
                     Case{"ended",
                          [](Leader& l) {
-                           l.w.fleet.observed_exits.insert({l.job_id, l.partition, 0, 7, false});
+                           l.state.fleet.observed_exits.insert({l.job_id, l.partition, 0, 7, false});
                          },
                          false},
                     Case{"machine_deleted", [](Leader& l) { l.machine->gone = true; }, false},
@@ -225,8 +225,8 @@
 TEST(Stops, WaitWhileTooManyAreInFlight) {
   Leader leader;
   leader.cancel();
-  EXPECT_TRUE(take_due_stops(leader.w, kMostStopsInFlight, kNow, exactly).empty());
-  EXPECT_EQ(take_due_stops(leader.w, kMostStopsInFlight - 1, kNow, exactly).size(), 1u);
+  EXPECT_TRUE(take_due_stops(leader.state, kMostStopsInFlight, kNow, exactly).empty());
+  EXPECT_EQ(take_due_stops(leader.state, kMostStopsInFlight - 1, kNow, exactly).size(), 1u);
 }
 
 TEST(InFlight, CountsUntilTheTokenIsGone) {
@@ -247,7 +247,7 @@
 };
 void PrintTo(const RefusalCase& c, std::ostream* out) { *out << c.name; }
 void claim(Leader& leader, const char* record) {
-  leader.w.cache.apply({"parts/a.0", boost::json::parse(record), 90});
+  leader.state.cache.apply({"parts/a.0", boost::json::parse(record), 90});
 }
 
 class Refusals : public testing::TestWithParam<RefusalCase> {};
@@ -255,7 +255,7 @@
   Leader leader;
   auto heartbeat = leader.heartbeat();
   GetParam().change(leader, heartbeat);
-  const auto refusal = why_not_answered(leader.w, heartbeat, kNow);
+  const auto refusal = why_not_answered(leader.state, heartbeat, kNow);
   ASSERT_EQ(refusal.has_value(), GetParam().expected.has_value());
   if (refusal) {
     EXPECT_EQ(refusal->index(), GetParam().expected->index());
@@ -270,7 +270,7 @@
         RefusalCase{"another_leads",
                     [](Leader& l, H&) {
                       claim(l, R"({"owner":"perch-1","inc":2})");
-                      l.w.cache.apply({"members/perch-1", boost::json::parse(R"({"inc":2})"), 91});
+                      l.state.cache.apply({"members/perch-1", boost::json::parse(R"({"inc":2})"), 91});
                     },
                     LedElsewhere{"perch-1"}},
         RefusalCase{"leader_does_not_run", [](Leader& l, H&) { claim(l, R"({"owner":"perch-1","inc":2})"); },
@@ -278,15 +278,15 @@
         RefusalCase{"led_by_an_earlier_process_of_ours",
                     [](Leader& l, H&) { claim(l, R"({"owner":"perch-0","inc":6})"); }, NoLeader{}},
         // A controller without peers cancels all there is to cancel itself.
-        RefusalCase{"no_read_for_long_and_no_peers", [](Leader& l, H&) { l.w.synchronized_at = ago(17); },
+        RefusalCase{"no_read_for_long_and_no_peers", [](Leader& l, H&) { l.state.synchronized_at = ago(17); },
                     std::nullopt},
         RefusalCase{"cancellations_of_peers_too_old",
-                    [](Leader& l, H&) { l.w.synchronized_at = ago(17), l.w.settings.nodes = 2; },
+                    [](Leader& l, H&) { l.state.synchronized_at = ago(17), l.state.settings.nodes = 2; },
                     CancellationsUnknown{}},
         RefusalCase{"cancellations_of_peers_known",
-                    [](Leader& l, H&) { l.w.synchronized_at = ago(16), l.w.settings.nodes = 2; },
+                    [](Leader& l, H&) { l.state.synchronized_at = ago(16), l.state.settings.nodes = 2; },
                     std::nullopt},
-        RefusalCase{"deleted_machine", [](Leader& l, H&) { l.w.fleet.deleted.insert(l.machine->id); },
+        RefusalCase{"deleted_machine", [](Leader& l, H&) { l.state.fleet.deleted.insert(l.machine->id); },
                     MachineDeleted{}}),
     [](const auto& info) { return std::string(info.param.name); });
 
--- a/tests/scheduling/cluster_load_test.cpp
+++ b/tests/scheduling/cluster_load_test.cpp
@@ -21,11 +21,11 @@
   return settings;
 }
 agent::Machine& add_machine(SinglePartition& p, const char* name, core::PartitionId partition) {
-  const auto type = p.w.names.types.intern("large");
-  p.w.fleet.machine_types.resize(1);
-  p.w.fleet.machine_types[0].size = {64, 8, 64};
-  p.w.fleet.machine_type_ids = {type};
-  auto& machine = p.w.fleet.intern(p.w.names, name);
+  const auto type = p.state.names.types.intern("large");
+  p.state.fleet.machine_types.resize(1);
+  p.state.fleet.machine_types[0].size = {64, 8, 64};
+  p.state.fleet.machine_type_ids = {type};
+  auto& machine = p.state.fleet.intern(p.state.names, name);
   machine.partition = partition;
   machine.type = type;
   machine.listed = true;
@@ -47,7 +47,7 @@
 TEST_P(Capacity, CountsMachinesOfOtherLeadersByTheCloudsList) {
   SinglePartition p(two_zones());
   GetParam().change(add_machine(p, "host-1", kOther));
-  const auto capacities = partition_capacities(p.w, spec_of(2), kNow);
+  const auto capacities = partition_capacities(p.state, spec_of(2), kNow);
   ASSERT_EQ(capacities.size(), 2u);
   EXPECT_DOUBLE_EQ(capacities[kOther.index].capacity, GetParam().capacity);
   EXPECT_DOUBLE_EQ(capacities[kOurs.index].capacity, 0);
@@ -66,25 +66,25 @@
 TEST(ClusterLoad, OwnMachinesCountOnceTheyAreUsable) {
   SinglePartition p(two_zones());
   auto& machine = add_machine(p, "host-1", kOurs);
-  EXPECT_DOUBLE_EQ(partition_capacities(p.w, spec_of(2), kNow)[0].free, 0);
+  EXPECT_DOUBLE_EQ(partition_capacities(p.state, spec_of(2), kNow)[0].free, 0);
   machine.has_heartbeat = true;
-  machine.fencing_token = p.w.fencing_token(kOurs);
+  machine.fencing_token = p.state.fencing_token(kOurs);
   machine.last_heartbeat = kNow;
-  EXPECT_DOUBLE_EQ(partition_capacities(p.w, spec_of(2), kNow + core::secs(0.4))[0].free, 0)
+  EXPECT_DOUBLE_EQ(partition_capacities(p.state, spec_of(2), kNow + core::secs(0.4))[0].free, 0)
       << "the load is kept for half a second";
-  EXPECT_DOUBLE_EQ(partition_capacities(p.w, spec_of(2), kNow + core::secs(0.5))[0].free, 4);
+  EXPECT_DOUBLE_EQ(partition_capacities(p.state, spec_of(2), kNow + core::secs(0.5))[0].free, 4);
 }
 
 TEST(ClusterLoad, WaitingTasksAreBacklogInTasksOfTheJobThatAsks) {
   SinglePartition p(two_zones());
-  auto record = *p.w.cache.job(p.job("req", 6, jobs::Shape::array));
+  auto record = *p.state.cache.job(p.job("req", 6, jobs::Shape::array));
   record.spec.need = {3, 4, 1};
   record.ranges = {{0, 4, kOurs}, {4, 6, kOther}};
-  p.w.cache.apply({"jobs/req", jobs::to_json(record, p.w.names), ++p.revision});
-  const auto by_gpus = partition_capacities(p.w, spec_of(2), kNow);
+  p.state.cache.apply({"jobs/req", jobs::to_json(record, p.state.names), ++p.revision});
+  const auto by_gpus = partition_capacities(p.state, spec_of(2), kNow);
   EXPECT_DOUBLE_EQ(by_gpus[0].backlog, 12) << "of processors there are more waiting than of accelerators";
   EXPECT_DOUBLE_EQ(by_gpus[1].backlog, 6);
-  const auto eight = partition_capacities(p.w, spec_of(0.5), kNow);
+  const auto eight = partition_capacities(p.state, spec_of(0.5), kNow);
   EXPECT_DOUBLE_EQ(eight[0].backlog, 32);
 }
 
--- a/tests/scheduling/preemption_test.cpp
+++ b/tests/scheduling/preemption_test.cpp
@@ -56,7 +56,7 @@
 
 struct Running : testing::Test {
   void place(core::JobId job, std::uint32_t tasks, std::uint64_t attempt) {
-    AssignmentWriter writer(deployment.w, deployment.partition);
+    AssignmentWriter writer(deployment.state, deployment.partition);
     writer.add(job, deployment.assignments(tasks, attempt));
     PlannedTransaction transaction;
     writer.finish(transaction);
@@ -66,7 +66,7 @@
 };
 
 TEST_F(Running, TasksThatStopOrHaveEndedAreNotPreemptedAgain) {
-  auto& state = deployment.w;
+  auto& state = deployment.state;
   const auto job = deployment.job("req-1", 4, Shape::array);
   place(job, 4, 9);
   state.fleet.preempting[{job, 1, 9}] = 0;
@@ -81,7 +81,7 @@
 
 // One machine is reclaimed: an array loses the task there, a gang leaves all its machines.
 TEST_F(Running, GangLeavesReclaimedMachineAsAWhole) {
-  auto& state = deployment.w;
+  auto& state = deployment.state;
   const auto array = deployment.job("req-1", 3, Shape::array), gang = deployment.job("req-2", 3, Shape::gang);
   place(array, 3, 9);
   place(gang, 3, 10);
--- a/tests/scheduling/quota_sharing_test.cpp
+++ b/tests/scheduling/quota_sharing_test.cpp
@@ -77,14 +77,14 @@
 TEST_P(PlanQuotaSharing, RequestsAndGrantsForOwnPartitionsOnly) {
   const auto& c = GetParam();
   SinglePartition p(settings());
-  p.w.cache.apply({"teams/red", to_json(c.before), 51});
-  p.w.cache.apply({"fence/a.0", boost::json::value(1), 52});
-  p.w.fence_due[kOurs.index] = c.fence_due ? 1 : 0;
+  p.state.cache.apply({"teams/red", to_json(c.before), 51});
+  p.state.cache.apply({"fence/a.0", boost::json::value(1), 52});
+  p.state.fence_due[kOurs.index] = c.fence_due ? 1 : 0;
   const core::TimePoint withdrawn_at(core::secs(c.withdrawn_s));
   const std::vector<QuotaShortage> shortages{
       {kOurs, kTeam, gpus(c.used), gpus(c.lacking), gpus(c.team_used)},
       {core::PartitionId{1}, kTeam, gpus(0), gpus(700), gpus(c.team_used)}};  // not ours to change
-  const auto plan = plan_quota_sharing(p.w, shortages, withdrawn_at, kNow);
+  const auto plan = plan_quota_sharing(p.state, shortages, withdrawn_at, kNow);
   const bool withdrawn = c.after && c.before.our_request > 0 && c.after->our_request == 0;
   EXPECT_EQ(plan.request_withdrawn_at, withdrawn ? kNow : withdrawn_at);
   ASSERT_EQ(plan.transactions.size(), c.after ? 1u : 0u);
@@ -121,9 +121,9 @@
   settings.zones = {"a", "b"};
   SinglePartition p(settings);
   const std::vector<QuotaShortage> shortages{{kOurs, kTeam, gpus(400), gpus(16), gpus(450)}};
-  EXPECT_EQ(plan_quota_sharing(p.w, shortages, {}, kNow).transactions.size(), 1u);
-  p.w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-1","inc":8})"), 60});
-  EXPECT_TRUE(plan_quota_sharing(p.w, shortages, {}, kNow).transactions.empty());
+  EXPECT_EQ(plan_quota_sharing(p.state, shortages, {}, kNow).transactions.size(), 1u);
+  p.state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-1","inc":8})"), 60});
+  EXPECT_TRUE(plan_quota_sharing(p.state, shortages, {}, kNow).transactions.empty());
 }
 
 }  // namespace
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -53,24 +53,24 @@
     return s;
   }
   static core::JobId waiting_job(SinglePartition& p, const char* name, jobs::Shape shape) {
-    auto record = *p.w.cache.job(p.job(name, 4, shape));
+    auto record = *p.state.cache.job(p.job(name, 4, shape));
     record.spec.need = {1, 1, 1};
-    p.w.cache.apply({state::keys::job(name), jobs::to_json(record, p.w.names), ++p.revision});
-    return *p.w.names.jobs.find(name);
+    p.state.cache.apply({state::keys::job(name), jobs::to_json(record, p.state.names), ++p.revision});
+    return *p.state.names.jobs.find(name);
   }
   static void add_machine(SinglePartition& p, core::PartitionId partition, double gpus) {
-    const auto type = p.w.names.types.intern("large");
-    p.w.fleet.machine_types.resize(1);
-    p.w.fleet.machine_types[0].size = {64, gpus, 64};
-    p.w.fleet.machine_type_ids = {type};
-    auto& machine = p.w.fleet.intern(p.w.names, "host-1");
+    const auto type = p.state.names.types.intern("large");
+    p.state.fleet.machine_types.resize(1);
+    p.state.fleet.machine_types[0].size = {64, gpus, 64};
+    p.state.fleet.machine_type_ids = {type};
+    auto& machine = p.state.fleet.intern(p.state.names, "host-1");
     machine.partition = partition;
     machine.type = type;
     machine.listed = true;
     machine.status = "running";
   }
   static Backlog backlog_of(const SinglePartition& p, core::JobId id) {
-    const auto& job = *p.w.cache.job(id);
+    const auto& job = *p.state.cache.job(id);
     sched::Demand demand;
     demand.job = id;
     demand.team = job.spec.team;
@@ -86,16 +86,16 @@
   const auto id = waiting_job(p, "req", c.shape);
   add_machine(p, kOther, c.free_gpus);
   c.change(p, id);
-  const auto move = plan_range_move(p.w, backlog_of(p, id), kNow);
+  const auto move = plan_range_move(p.state, backlog_of(p, id), kNow);
   ASSERT_EQ(move.has_value(), !c.after.empty());
   if (!move) return;
   const auto& transaction = move->transaction;
   ASSERT_EQ(transaction.writes.size(), 1u);
-  EXPECT_EQ(jobs::job_from_json(*transaction.writes[0].value, p.w.names).ranges, c.after);
+  EXPECT_EQ(jobs::job_from_json(*transaction.writes[0].value, p.state.names).ranges, c.after);
   std::map<std::string, std::uint64_t> compares;
   for (const auto& compare : transaction.compares) compares[compare.key] = compare.revision;
   const std::map<std::string, std::uint64_t> expected{
-      {"parts/a.0", 40}, {"jobs/req", p.w.cache.job(id)->revision}, {"fence/a.0", p.w.cache.fence(kOurs)}};
+      {"parts/a.0", 40}, {"jobs/req", p.state.cache.job(id)->revision}, {"fence/a.0", p.state.cache.fence(kOurs)}};
   EXPECT_EQ(compares, expected);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -113,7 +113,7 @@
                  jobs::Shape::gang,
                  8,
                  [](auto& p, auto id) {
-                   assignments::AssignmentWriter writer(p.w, kOurs);
+                   assignments::AssignmentWriter writer(p.state, kOurs);
                    ASSERT_TRUE(writer.add(id, p.assignments(1, 9)));
                    assignments::PlannedTransaction transaction;
                    writer.finish(transaction);
@@ -123,31 +123,31 @@
         PlanCase{"quota_used_up_is_no_reason",
                  jobs::Shape::gang,
                  8,
-                 [](auto& p, auto) { p.w.settings.teams[0].gpus_max = 3; },
+                 [](auto& p, auto) { p.state.settings.teams[0].gpus_max = 3; },
                  {}},
         PlanCase{"only_by_the_leader",
                  jobs::Shape::array,
                  8,
                  [](auto& p, auto) {
-                   p.w.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-1","inc":8})"), 60});
+                   p.state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-1","inc":8})"), 60});
                  },
                  {}},
         PlanCase{"only_where_the_zone_is_allowed",
                  jobs::Shape::array,
                  8,
                  [](auto& p, auto id) {
-                   auto record = *p.w.cache.job(id);
-                   record.spec.zone = p.w.partitions.zone(kOurs);
-                   p.w.cache.apply({"jobs/req", jobs::to_json(record, p.w.names), ++p.revision});
+                   auto record = *p.state.cache.job(id);
+                   record.spec.zone = p.state.partitions.zone(kOurs);
+                   p.state.cache.apply({"jobs/req", jobs::to_json(record, p.state.names), ++p.revision});
                  },
                  {}},
         PlanCase{"scattered_no_more_than_half_in_a_zone",
                  jobs::Shape::array,
                  8,
                  [](auto& p, auto id) {
-                   auto record = *p.w.cache.job(id);
+                   auto record = *p.state.cache.job(id);
                    record.spec.spread = true;
-                   p.w.cache.apply({"jobs/req", jobs::to_json(record, p.w.names), ++p.revision});
+                   p.state.cache.apply({"jobs/req", jobs::to_json(record, p.state.names), ++p.revision});
                  },
                  {{0, 2, kOurs}, {2, 4, kOther}}}),
     [](const auto& info) { return std::string(info.param.name); });
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -44,7 +44,7 @@
     return demand_of(state, job, ours, WaitingTasks(state.cache, job));
   }
   SinglePartition deployment{settings()};
-  controller::ControllerState& state = deployment.w;
+  controller::ControllerState& state = deployment.state;
   core::PartitionId ours{0}, other{1};
 };
 
@@ -122,7 +122,7 @@
 TEST_P(RoundDecides, OnlyOnWhatItKnowsToBeFresh) {
   const auto& c = GetParam();
   SinglePartition deployment;
-  auto& state = deployment.w;
+  auto& state = deployment.state;
   state.loaded = c.loaded;
   if (c.machine_types_known) state.fleet.machine_types.emplace_back();
   if (!c.leads) state.incarnation = 8;
