--- a/.ci/lint.sh
+++ b/.ci/lint.sh
@@ -7,7 +7,7 @@
 cd "$(dirname "$0")/.."
 shape='-*,readability-function-cognitive-complexity,readability-function-size,readability-identifier-naming'
 find src -name '*.cpp' | sort |
-  xargs -P "$(nproc)" -I{} clang-tidy-19 --quiet --checks="$shape" {} -- -std=c++20 -Isrc -DBOOST_ASIO_DISABLE_BOOST_REGEX
+  xargs -P "$(nproc)" -I{} clang-tidy-19 --quiet --checks="$shape" {} -- -std=c++20 -Isrc -DBOOST_ASIO_DISABLE_BOOST_REGEX '-DFINCHRUN_VERSION="lint"'
 find src/agent src/config src/jobs src/ledger src/membership src/sched src/wire src/state/state_cache.cpp \
   src/state/job_table.cpp src/state/assignment_table.cpp src/state/coordination_records.cpp src/state/records.cpp \
   src/state/keys.cpp src/state/transaction.cpp -name '*.cpp' |
