--- a/src/coordination/peer_service.cpp
+++ b/src/coordination/peer_service.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "http/status.hpp"
+
 namespace finchrun::coordination {
 
 namespace {
@@ -12,8 +14,6 @@
 constexpr auto kCallLimit = std::chrono::milliseconds(1500);
 // To peers that don't answer each holds a socket for seconds; what is left out comes with the next ping.
 constexpr std::size_t kMaxAnnouncementsInFlight = 32;
-constexpr int kOk = 200;
-constexpr int kBadRequest = 400;
 
 // Frames are made outside the coroutines: GCC 12 destroys aggregates twice that are temporaries of a
 // co_await.
@@ -105,7 +105,7 @@
   auto message = peer::decode(frame);
   if (!message) {
     spdlog::debug("peer frame rejected reason={} bytes={}", name_of(message.error()), frame.size());
-    co_return reply_frame(kBadRequest, "");
+    co_return reply_frame(http::status::kBadRequest, "");
   }
   auto reply = std::visit([this](auto& request) { return answer(std::move(request)); }, *message);
   co_return co_await std::move(reply);
@@ -128,12 +128,16 @@
 
 asio::awaitable<std::string> PeerService::answer(peer::CancellationNotice notice) {
   state_.with([&](ControllerState& state) { apply_cancellation(state, notice); });
-  co_return reply_frame(kOk, "");
+  co_return reply_frame(http::status::kOk, "");
 }
 
 // These two are answers, never requests.
-asio::awaitable<std::string> PeerService::answer(peer::Pong) { co_return reply_frame(kBadRequest, ""); }
-asio::awaitable<std::string> PeerService::answer(peer::Reply) { co_return reply_frame(kBadRequest, ""); }
+asio::awaitable<std::string> PeerService::answer(peer::Pong) {
+  co_return reply_frame(http::status::kBadRequest, "");
+}
+asio::awaitable<std::string> PeerService::answer(peer::Reply) {
+  co_return reply_frame(http::status::kBadRequest, "");
+}
 
 // A help on top of the bound on the age of what is known, never instead of it: a leader that the key-value
 // store refuses would else go on with the job's tasks until its next read, and start others of them.
--- a/src/coordination/peer_service.hpp
+++ b/src/coordination/peer_service.hpp
@@ -9,8 +9,8 @@
 #include "controller/controller_state.hpp"
 #include "controller/runtime.hpp"
 #include "coordination/peer_table.hpp"
+#include "core/in_flight.hpp"
 #include "http/server.hpp"
-#include "peer/in_flight.hpp"
 #include "peer/messages.hpp"
 #include "state/key_value_store.hpp"
 
@@ -64,7 +64,7 @@
   PeerTable& peers_;
   const config::Settings& settings_;
   HeartbeatHandler handle_heartbeat_;
-  peer::InFlightCounter announcements_;
+  core::InFlightCounter announcements_;
   std::vector<Reachability> reachability_;  // by peer, for the log alone
 };
 
--- a/src/coordination/peer_table.cpp
+++ b/src/coordination/peer_table.cpp
@@ -1,12 +1,12 @@
 #include "coordination/peer_table.hpp"
 
+#include "http/status.hpp"
 #include "peer/messages.hpp"
 
 namespace finchrun::coordination {
 namespace {
 
 constexpr double kFreshStateS = 2.0;  // a peer whose view is older may have lost the store as well
-constexpr int kServiceUnavailable = 503;
 
 // Made outside the coroutine: GCC 12 destroys aggregates twice that are temporaries of a co_await.
 std::string store_request_frame(bool post, const std::string& target, const std::string& body) {
@@ -37,7 +37,7 @@
   const auto peer = peers_.in_touch_with_store();
   if (!peer) {
     http::Answer not_sent;
-    not_sent.status = kServiceUnavailable;
+    not_sent.status = http::status::kServiceUnavailable;
     co_return not_sent;
   }
   std::string request = store_request_frame(verb == http::Verb::post, target, body);
--- a/src/peer/in_flight.hpp
+++ b/src/core/in_flight.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <utility>
 
-namespace finchrun::peer {
+namespace finchrun::core {
 
 /// A count of what is under way, shared with each of it: a coroutine that is destroyed with its event loop
 /// gives back its place after the counter's own object has gone.
@@ -34,4 +34,4 @@
   std::shared_ptr<std::size_t> count_ = std::make_shared<std::size_t>(0);
 };
 
-}  // namespace finchrun::peer
+}  // namespace finchrun::core
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -16,7 +16,7 @@
 constexpr auto kRelayTimeout = 2500ms;
 
 http::Response redirect_to(const std::optional<std::string>& leader) {
-  return {http_status::kMisdirected, wire::render_redirect(leader)};
+  return {http::status::kMisdirectedRequest, wire::render_redirect(leader)};
 }
 
 struct RefusalResponse {
@@ -56,7 +56,7 @@
 http::Response AgentGateway::handle_heartbeat(const std::string& body) {
   const auto parsed = wire::parse_heartbeat(body);
   if (const auto* malformed = std::get_if<wire::Malformed>(&parsed))
-    return error_response(http_status::kBadRequest, malformed->why);
+    return error_response(http::status::kBadRequest, malformed->why);
   const auto& heartbeat = std::get<wire::Heartbeat>(parsed);
   const auto now = core::Steady::now();
   bool changed = false;
@@ -78,7 +78,7 @@
     // An older heartbeat changes nothing and is answered without commands: an answer to one of our direct
     // commands may have overtaken it, and turning its agent away would only send it round the other
     // controllers.
-    return http::Response{http_status::kOk,
+    return http::Response{http::status::kOk,
                           wire::render_commands(state.fencing_token(partition), result.commands)};
   });
   if (changed) writer_wakeup_.notify();
@@ -111,14 +111,14 @@
 
 asio::awaitable<http::Response> AgentGateway::receive(std::string body) {
   http::Response response = handle_heartbeat(body);
-  if (response.status != http_status::kMisdirected) co_return response;
+  if (response.status != http::status::kMisdirectedRequest) co_return response;
   const auto leader = peer_to_relay_to(body);
   if (!leader) co_return response;
   std::string request = relay_frame(body);
   const auto frame = co_await peers_.link(*leader).call(std::move(request), kRelayTimeout);
   const auto reply = coordination::read_relayed_response(frame);
   // Not relayed: the agent goes on trying by itself.
-  if (reply.status == http_status::kOk) response = {http_status::kOk, reply.body};
+  if (reply.status == http::status::kOk) response = {http::status::kOk, reply.body};
   co_return response;
 }
 
--- a/src/gateway/cancellation_stops.cpp
+++ b/src/gateway/cancellation_stops.cpp
@@ -25,7 +25,7 @@
 }
 
 asio::awaitable<void> CancellationStops::stop(core::MachineId machine, std::vector<wire::Command> commands) {
-  const auto counted = in_flight_.enter();
+  const auto counted = in_flight_.take();
   std::vector<agent::TaskAttempt> no_starts;
   co_await commands_.send(machine, std::move(commands), std::move(no_starts));
 }
--- a/src/gateway/cancellation_stops.hpp
+++ b/src/gateway/cancellation_stops.hpp
@@ -3,8 +3,8 @@
 
 #include "controller/controller_state.hpp"
 #include "controller/runtime.hpp"
+#include "core/in_flight.hpp"
 #include "gateway/agent_commands.hpp"
-#include "gateway/in_flight.hpp"
 
 namespace finchrun::gateway {
 
@@ -28,7 +28,7 @@
   controller::Runtime& runtime_;
   controller::SharedState& state_;
   AgentCommands& commands_;
-  InFlightCounter in_flight_;
+  core::InFlightCounter in_flight_;
 };
 
 }  // namespace finchrun::gateway
--- a/src/gateway/direct_commands.cpp
+++ b/src/gateway/direct_commands.cpp
@@ -74,16 +74,16 @@
   auto parsed = wire::parse_heartbeat(answer.body);
   auto* heartbeat = std::get_if<wire::Heartbeat>(&parsed);
   switch (answer.status) {
-    case http_status::kNoAnswer:
+    case http::status::kNoAnswer:
       result.delivery = Delivery::no_answer;
       return result;
-    case http_status::kOk:
+    case http::status::kOk:
       result.delivery = heartbeat ? Delivery::executed : Delivery::unexpected;
       break;
-    case http_status::kConflict:
+    case http::status::kConflict:
       result.delivery = Delivery::other_incarnation;
       break;
-    case http_status::kBadRequest:
+    case http::status::kBadRequest:
       result.delivery = Delivery::malformed;
       return result;
     default:
--- a/src/gateway/job_api.cpp
+++ b/src/gateway/job_api.cpp
@@ -40,14 +40,15 @@
     const auto* job = state.cache.job(id);
     if (!job)
       return state.cache.unreadable(id) ? retry_later(kUnknownStateText)
-                                        : error_response(http_status::kNotFound, kNoSuchJobText);
+                                        : error_response(http::status::kNotFound, kNoSuchJobText);
     if (job->status == jobs::Status::cancelled)
-      return http::Response{http_status::kOk, wire::render_status(name, "cancelled")};
+      return http::Response{http::status::kOk, wire::render_status(name, "cancelled")};
     if (job->status == jobs::Status::done)
-      return http::Response{http_status::kOk, wire::render_status(name, "done", job->spec.tasks, 0)};
+      return http::Response{http::status::kOk, wire::render_status(name, "done", job->spec.tasks, 0)};
     const auto running = state.cache.placed(id);
     const char* status = running > 0 ? "running" : "pending";
-    return http::Response{http_status::kOk, wire::render_status(name, status, state.cache.done(id), running)};
+    return http::Response{http::status::kOk,
+                          wire::render_status(name, status, state.cache.done(id), running)};
   });
 }
 
@@ -91,14 +92,14 @@
   if (!co_await follower_.linearizable_read(core::Steady::now() + kReadTimeout))
     co_return retry_later(kUnknownStateText);
   const auto known = state_.with([&](ControllerState& state) { return state.names.jobs.find(id); });
-  if (!known) co_return error_response(http_status::kNotFound, kNoSuchJobText);
+  if (!known) co_return error_response(http::status::kNotFound, kNoSuchJobText);
   co_return status_of(*known);
 }
 
 asio::awaitable<http::Response> JobApi::submit(std::string body) {
   auto parsed = wire::parse_submission(body);
   if (const auto* malformed = std::get_if<wire::Malformed>(&parsed))
-    co_return error_response(http_status::kBadRequest, malformed->why);
+    co_return error_response(http::status::kBadRequest, malformed->why);
   const auto& submission = std::get<wire::Submission>(parsed);
   auto admission = state_.with([&](ControllerState& state) {
     return decide_admission(state, submission, core::Steady::now(), core::wall_s());
@@ -114,14 +115,14 @@
     if (!co_await follower_.linearizable_read(core::Steady::now() + kReadTimeout))
       co_return retry_later(kUnknownStateText);
     if (!knows(submission.id))
-      co_return error_response(http_status::kUnprocessable, text_of(std::get<NeverRuns>(admission).reason));
+      co_return error_response(http::status::kUnprocessable, text_of(std::get<NeverRuns>(admission).reason));
   }
   if (!std::holds_alternative<Admitted>(admission)) co_return co_await query(submission.id);
 
   if (!store_.spend(1, state::KeyValueStore::For::users)) co_return retry_later("too many submissions");
   auto& transaction = std::get<Admitted>(admission).transaction;
   auto response = co_await commit_submission(submission.id, std::move(transaction));
-  if (response.status == http_status::kCreated)
+  if (response.status == http::status::kCreated)
     spdlog::info("job accepted job={} team={} tasks={} shape={}", submission.id, submission.team,
                  submission.spec.tasks, jobs::name_of(submission.spec.shape));
   co_return response;
@@ -131,7 +132,7 @@
   const auto result = co_await follower_.commit(std::move(transaction));
   switch (result.outcome) {
     case CommitStatus::done:
-      co_return http::Response{http_status::kCreated, wire::render_status(job, "pending")};
+      co_return http::Response{http::status::kCreated, wire::render_status(job, "pending")};
     case CommitStatus::conflict:  // another controller has accepted the same job meanwhile
       co_return co_await query(job);
     case CommitStatus::unknown:
@@ -167,7 +168,7 @@
     // The record has changed, the commit got no answer, or the job is not known here: look again.
     if (!co_await follower_.linearizable_read(deadline)) co_return retry_later(kUnknownStateText);
     if (std::holds_alternative<UnknownJob>(decision) && !knows(id))
-      co_return error_response(http_status::kNotFound, kNoSuchJobText);
+      co_return error_response(http::status::kNotFound, kNoSuchJobText);
   }
   co_return retry_later(kUnknownStateText);
 }
--- a/src/gateway/router.cpp
+++ b/src/gateway/router.cpp
@@ -10,13 +10,13 @@
 http::Response response_to(RouteError error) {
   switch (error) {
     case RouteError::method_not_allowed:
-      return error_response(http_status::kMethodNotAllowed, "method not allowed");
+      return error_response(http::status::kMethodNotAllowed, "method not allowed");
     case RouteError::no_such_job:
-      return error_response(http_status::kNotFound, "no such job");
+      return error_response(http::status::kNotFound, "no such job");
     case RouteError::no_such_path:
       break;
   }
-  return error_response(http_status::kNotFound, "no such path");
+  return error_response(http::status::kNotFound, "no such path");
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
       co_return co_await agents_.receive(std::move(request.body));
     case Endpoint::readiness:
       if (!jobs_.ready()) co_return retry_later("no news from the state service");
-      co_return http::Response{http_status::kOk, "{}"};
+      co_return http::Response{http::status::kOk, "{}"};
     case Endpoint::submit:
       co_return co_await jobs_.submit(std::move(request.body));
     case Endpoint::query:
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -10,8 +10,8 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/endian/conversion.hpp>
 
+#include "core/in_flight.hpp"
 #include "http/exchange.hpp"
-#include "peer/in_flight.hpp"
 #include "peer/messages.hpp"
 
 namespace finchrun::peer {
@@ -81,7 +81,7 @@
 
 // Answers the frames of one connection, one after the other.
 asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<FrameHandler> handler,
-                                       [[maybe_unused]] InFlightCounter::Place place,
+                                       [[maybe_unused]] core::InFlightCounter::Place place,
                                        std::shared_ptr<core::Deadlines> deadlines) {
   prepare(socket);
   core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kIdleTimeout);
@@ -131,7 +131,7 @@
   auto executor = co_await asio::this_coro::executor;
   tcp::acceptor acceptor(executor, tcp::endpoint(asio::ip::make_address_v4(at.host), at.port));
   auto shared_handler = std::make_shared<FrameHandler>(std::move(handler));
-  InFlightCounter connections;
+  core::InFlightCounter connections;
   auto deadlines = std::make_shared<core::Deadlines>(executor, kServerDeadlineTick);
   Code ec;
   while (true) {
--- a/src/state/key_value_store.cpp
+++ b/src/state/key_value_store.cpp
@@ -70,8 +70,8 @@
   const bool read = verb == http::Verb::get;
   const bool refused = core::since(refused_at_, core::Steady::now()) < kRefusedForS;
   auto answer = co_await direct.call(verb, target, body, refused && read ? kProbeTimeout : kTimeout);
-  const bool not_executed =
-      answer.status == http_status::kServiceUnavailable || (answer.status == http_status::kNoAnswer && read);
+  const bool not_executed = answer.status == http::status::kServiceUnavailable ||
+                            (answer.status == http::status::kNoAnswer && read);
   if (not_executed) refused_at_ = core::Steady::now();
   if (not_executed && peer_relay_)
     answer = co_await peer_relay_->call(verb, std::move(target), std::move(body), kTimeout);
@@ -80,16 +80,16 @@
 
 asio::awaitable<http::Answer> KeyValueStore::forward(http::Verb verb, std::string target, std::string body) {
   if (!requests_.take(1, kForwardReserve, core::Steady::now()))
-    co_return http::Answer{http_status::kTooManyRequests, {}};
+    co_return http::Answer{http::status::kTooManyRequests, {}};
   co_return co_await client_->call(verb, std::move(target), std::move(body), kTimeout);
 }
 
 asio::awaitable<http::Answer> KeyValueStore::call(http::Verb verb, std::string target, std::string body,
                                                   double reserve) {
   if (!requests_.take(1, reserve, core::Steady::now()))
-    co_return http::Answer{http_status::kTooManyRequests, {}};
+    co_return http::Answer{http::status::kTooManyRequests, {}};
   http::Answer answer = co_await call_or_relay(*client_, verb, std::move(target), std::move(body));
-  if (answer.status == http_status::kTooManyRequests) requests_.refused(core::Steady::now());
+  if (answer.status == http::status::kTooManyRequests) requests_.refused(core::Steady::now());
   co_return answer;
 }
 
@@ -122,7 +122,7 @@
   }
   const http::Answer answer =
       co_await call(http::Verb::post, "/commit", std::move(body.text), kCommitReserve);
-  if (answer.status == http_status::kTooManyRequests) writes_.refused(core::Steady::now());
+  if (answer.status == http::status::kTooManyRequests) writes_.refused(core::Steady::now());
   auto result = commit_result(answer);
   if (result.outcome == CommitStatus::malformed) spdlog::error("commit malformed reason={}", answer.body);
   co_return result;
--- a/src/state/store_protocol.cpp
+++ b/src/state/store_protocol.cpp
@@ -18,12 +18,12 @@
 
 StoreError error_of(int status) {
   switch (status) {
-    case http_status::kNoAnswer:
+    case http::status::kNoAnswer:
       return StoreError::no_answer;
-    case http_status::kGone:
+    case http::status::kGone:
       return StoreError::revision_too_old;
-    case http_status::kTooManyRequests:
-    case http_status::kServiceUnavailable:
+    case http::status::kTooManyRequests:
+    case http::status::kServiceUnavailable:
       return StoreError::refused;
     default:
       return StoreError::malformed_answer;
@@ -33,7 +33,7 @@
 // Reads the body of a successful answer; `read` throws on what it doesn't understand.
 template <class T, class Read>
 Result<T> result(const http::Answer& answer, const char* request, Read&& read) {
-  if (answer.status != http_status::kOk) return error_of(answer.status);
+  if (answer.status != http::status::kOk) return error_of(answer.status);
   const auto body = parse(answer.body);
   if (!body) return StoreError::malformed_answer;
   try {
@@ -79,7 +79,7 @@
   try {
     CommitResult result;
     result.revision = whole(body->at("epoch"));
-    result.outcome = answer.status == http_status::kOk ? CommitStatus::done : CommitStatus::conflict;
+    result.outcome = answer.status == http::status::kOk ? CommitStatus::done : CommitStatus::conflict;
     if (result.outcome == CommitStatus::conflict)
       for (const auto& key : body->at("failed").as_array()) result.failed.emplace_back(key.as_string());
     return result;
@@ -150,15 +150,15 @@
 CommitResult commit_result(const http::Answer& answer) {
   CommitResult result;
   switch (answer.status) {
-    case http_status::kOk:
-    case http_status::kConflict:
+    case http::status::kOk:
+    case http::status::kConflict:
       return answered_commit(answer);
-    case http_status::kBadRequest:
+    case http::status::kBadRequest:
       result.outcome = answer.body.find("no such lease") != std::string::npos ? CommitStatus::lease_expired
                                                                               : CommitStatus::malformed;
       break;
-    case http_status::kTooManyRequests:
-    case http_status::kServiceUnavailable:
+    case http::status::kTooManyRequests:
+    case http::status::kServiceUnavailable:
       result.outcome = CommitStatus::refused;
       break;
     default:
@@ -194,8 +194,8 @@
 }
 
 LeaseRenewal renewal_result(const http::Answer& answer) {
-  if (answer.status == http_status::kOk) return LeaseRenewal::renewed;
-  return answer.status == http_status::kNotFound ? LeaseRenewal::expired : LeaseRenewal::unknown;
+  if (answer.status == http::status::kOk) return LeaseRenewal::renewed;
+  return answer.status == http::status::kNotFound ? LeaseRenewal::expired : LeaseRenewal::unknown;
 }
 
 }  // namespace finchrun::state
--- a/src/state/store_protocol.hpp
+++ b/src/state/store_protocol.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
+#include "http/status.hpp"
 #include "http/transport.hpp"
 #include "state/transaction.hpp"
 
@@ -47,18 +48,6 @@
   unknown,  ///< no answer, or refused: it goes on until its time is over
 };
 
-/// What of the store's answers is told apart here.
-namespace http_status {
-inline constexpr int kNoAnswer = 0;
-inline constexpr int kOk = 200;
-inline constexpr int kBadRequest = 400;
-inline constexpr int kNotFound = 404;
-inline constexpr int kConflict = 409;
-inline constexpr int kGone = 410;
-inline constexpr int kTooManyRequests = 429;
-inline constexpr int kServiceUnavailable = 503;
-}  // namespace http_status
-
 /// The body of a transaction, and what of it the service would refuse for its size.
 struct CommitBody {
   std::string text;
--- a/tests/peer/in_flight_test.cpp
+++ b/tests/core/in_flight_test.cpp
@@ -1,10 +1,10 @@
-#include "peer/in_flight.hpp"
+#include "core/in_flight.hpp"
 
 #include <gtest/gtest.h>
 
 #include <optional>
 
-namespace finchrun::peer {
+namespace finchrun::core {
 namespace {
 
 TEST(InFlightCounter, CountsPlacesUntilTheyAreDestroyed) {
@@ -27,4 +27,4 @@
 }
 
 }  // namespace
-}  // namespace finchrun::peer
+}  // namespace finchrun::core
--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -4,10 +4,10 @@
 #include <functional>
 
 #include "assignments/single_partition.hpp"
+#include "core/in_flight.hpp"
 #include "gateway/direct_commands.hpp"
 #include "gateway/due_stops.hpp"
 #include "gateway/heartbeat_routing.hpp"
-#include "gateway/in_flight.hpp"
 
 namespace finchrun::gateway {
 namespace {
@@ -230,13 +230,13 @@
 }
 
 TEST(InFlight, CountsUntilTheTokenIsGone) {
-  auto counter = std::make_unique<InFlightCounter>();
+  auto counter = std::make_unique<core::InFlightCounter>();
   {
-    const auto first = counter->enter();
+    const auto first = counter->take();
     EXPECT_EQ(counter->count(), 1u);
   }
   EXPECT_EQ(counter->count(), 0u);
-  const auto outlives = counter->enter();
+  const auto outlives = counter->take();
   counter.reset();
 }
 
