--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -194,10 +194,7 @@
 }
 
 std::vector<core::Resources> ControllerState::used_by_team() const {
-  std::vector<core::Resources> used(settings.teams.size());
-  for (const auto& partition : used_by_partition())
-    for (std::size_t t = 0; t < used.size(); ++t) used[t] += partition[t];
-  return used;
+  return sum_by_team(used_by_partition(), settings.teams.size());
 }
 
 ledger::QuotaShares ControllerState::quota_shares(core::TeamId team) const {
--- a/src/controller/quota_usage.cpp
+++ b/src/controller/quota_usage.cpp
@@ -63,6 +63,14 @@
   return used;
 }
 
+std::vector<core::Resources> sum_by_team(const std::vector<std::vector<core::Resources>>& used,
+                                         std::size_t teams) {
+  std::vector<core::Resources> sum(teams);
+  for (const auto& partition : used)
+    for (std::size_t team = 0; team < teams; ++team) sum[team] += partition[team];
+  return sum;
+}
+
 ledger::QuotaShares quota_shares(const config::Settings& settings, const state::StateCache& cache,
                                  core::TeamId team) {
   const auto& limits = settings.teams.at(team.index);
--- a/src/controller/quota_usage.hpp
+++ b/src/controller/quota_usage.hpp
@@ -22,6 +22,10 @@
                                                             const state::StateCache& cache,
                                                             const agent::Fleet& fleet);
 
+/// Summed over the partitions, by team: `used` is [partition][team].
+std::vector<core::Resources> sum_by_team(const std::vector<std::vector<core::Resources>>& used,
+                                         std::size_t teams);
+
 /// The team's shares as its record says; equal ones while it has none.
 ledger::QuotaShares quota_shares(const config::Settings& settings, const state::StateCache& cache,
                                  core::TeamId team);
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "controller/quota_usage.hpp"
 #include "scheduling/preemption.hpp"
 
 namespace finchrun::scheduling {
@@ -80,15 +81,6 @@
   return usage;
 }
 
-// By team; [partition][team] summed over the partitions.
-std::vector<core::Resources> sum_by_team(const std::vector<std::vector<core::Resources>>& used,
-                                         std::size_t teams) {
-  std::vector<core::Resources> sum(teams);
-  for (const auto& partition : used)
-    for (std::size_t team = 0; team < teams; ++team) sum[team] += partition[team];
-  return sum;
-}
-
 std::vector<sched::GuaranteeUsage> guarantees_of(const std::vector<config::Team>& teams,
                                                  const std::vector<core::Resources>& used) {
   std::vector<sched::GuaranteeUsage> guarantees;
@@ -278,7 +270,7 @@
   RoundView view;
   view.attempt = state.cache.newest() + 1;
   view.team_shares = state.shares;
-  view.used_by_team = sum_by_team(used, state.settings.teams.size());
+  view.used_by_team = controller::sum_by_team(used, state.settings.teams.size());
   view.guarantees = guarantees_of(state.settings.teams, view.used_by_team);
   roll_own_usage(state, wall_s);
   book_usage(state, wall_s, round_s);
