--- a/tests/cloud/cloud_test.cpp
+++ b/tests/cloud/cloud_test.cpp
@@ -2,37 +2,16 @@
 
 #include <gtest/gtest.h>
 
-#include <boost/asio/co_spawn.hpp>
-#include <boost/asio/detached.hpp>
-#include <boost/asio/io_context.hpp>
 #include <boost/json.hpp>
 #include <deque>
 #include <optional>
 
+#include "sim/scripted_network.hpp"
+
 namespace finchrun::cloud {
 namespace {
 
-/// Answers with what the test has prepared, and keeps what it was asked.
-struct ScriptedNetwork : http::Network {
-  struct ScriptedTransport : http::Transport {
-    explicit ScriptedTransport(ScriptedNetwork& network) : script(network) {}
-    asio::awaitable<http::Answer> call(http::Verb, std::string target, std::string body,
-                                       std::chrono::milliseconds) override {
-      script.targets.push_back(std::move(target));
-      script.bodies.push_back(std::move(body));
-      if (script.answers.empty()) co_return http::Answer{};
-      auto answer = script.answers.front();
-      script.answers.pop_front();
-      co_return answer;
-    }
-    ScriptedNetwork& script;
-  };
-  std::unique_ptr<http::Transport> connect(const config::Endpoint&, std::size_t) override {
-    return std::make_unique<ScriptedTransport>(*this);
-  }
-  std::deque<http::Answer> answers;
-  std::vector<std::string> targets, bodies;
-};
+using sim::ScriptedNetwork;
 
 struct Scene {
   explicit Scene(std::deque<http::Answer> answers, double requests_per_s = 1000)
@@ -48,22 +27,12 @@
   Cloud cloud;
 };
 
-template <class F>
-auto run(F&& start) {
-  asio::io_context io;
-  std::optional<typename decltype(start())::value_type> result;
-  asio::co_spawn(
-      io, [&]() -> asio::awaitable<void> { result = co_await start(); }, asio::detached);
-  io.run();
-  return *result;
-}
-
 const char* kTypes = R"({"racks":[{"name":"gpu.8","vcpus":64,"gpus":8,"ramGb":512.5,"cacheGb":100,
     "pullGbPerS":0.5,"rate":20,"spotPrice":6,"readyS":90,"halls":["a","b"]}]})";
 
 TEST(Cloud, ReadsMachineTypes) {
   Scene scene({{200, kTypes}});
-  const auto result = run([&] { return scene.cloud.machine_types(); });
+  const auto result = sim::run_to_end([&] { return scene.cloud.machine_types(); });
   const auto* types = std::get_if<std::vector<MachineType>>(&result);
   ASSERT_TRUE(types);
   ASSERT_EQ(types->size(), 1u);
@@ -89,7 +58,7 @@
 class MachineTypesError : public testing::TestWithParam<ErrorCase> {};
 TEST_P(MachineTypesError, IsNamed) {
   Scene scene({GetParam().answer});
-  const auto result = run([&] { return scene.cloud.machine_types(); });
+  const auto result = sim::run_to_end([&] { return scene.cloud.machine_types(); });
   ASSERT_TRUE(std::holds_alternative<Error>(result));
   EXPECT_EQ(std::get<Error>(result), GetParam().error) << name_of(std::get<Error>(result));
 }
@@ -114,7 +83,7 @@
 TEST(Cloud, ReadsTheMachineListPageByPage) {
   Scene scene({{200, kFirstPage}, {200, kLastPage}});
   const auto every_s = scene.cloud.list_every_s();
-  const auto result = run([&] { return scene.cloud.machines(); });
+  const auto result = sim::run_to_end([&] { return scene.cloud.machines(); });
   const auto* machines = std::get_if<std::vector<ListedMachine>>(&result);
   ASSERT_TRUE(machines);
   ASSERT_EQ(machines->size(), 2u);
@@ -142,7 +111,7 @@
   for (const auto& c : {Case{{500, ""}, Error::refused}, Case{{0, ""}, Error::no_answer},
                         Case{{200, R"({"perches":[]})"}, Error::malformed}}) {
     Scene scene({{200, kFirstPage}, c.second_page});
-    const auto result = run([&] { return scene.cloud.machines(); });
+    const auto result = sim::run_to_end([&] { return scene.cloud.machines(); });
     ASSERT_TRUE(std::holds_alternative<Error>(result));
     EXPECT_EQ(std::get<Error>(result), c.error);
   }
@@ -159,7 +128,8 @@
                         Case{{503, R"({"error":"busy"})"}, Error::refused}, Case{{0, ""}, Error::no_answer},
                         Case{{200, R"({"perches":["m-1",2]})"}, Error::malformed}}) {
     Scene scene({c.answer});
-    const auto result = run([&] { return scene.cloud.scale_out("perch-0-7-1", "gpu.8", "a", true, 3); });
+    const auto result =
+        sim::run_to_end([&] { return scene.cloud.scale_out("perch-0-7-1", "gpu.8", "a", true, 3); });
     EXPECT_EQ(scene.network.bodies.at(0),
               R"({"hire":"perch-0-7-1","rack":"gpu.8","hall":"a","loaners":true,"howMany":3})");
     ASSERT_EQ(result.index(), c.result.index()) << c.answer.body;
@@ -174,7 +144,7 @@
 TEST(Cloud, ReleasesMachines) {
   for (const int status : {200, 0, 404, 429, 500, 503}) {
     Scene scene({{status, ""}});
-    const auto result = run([&] { return scene.cloud.release({"m-1", "m-2"}); });
+    const auto result = sim::run_to_end([&] { return scene.cloud.release({"m-1", "m-2"}); });
     EXPECT_EQ(std::holds_alternative<Released>(result), status == 200) << status;
     EXPECT_EQ(scene.network.targets.at(0), "/hosts/release");
     EXPECT_EQ(scene.network.bodies.at(0), R"({"perches":["m-1","m-2"]})");
@@ -185,7 +155,7 @@
   Scene scene({{200, ""}, {200, ""}, {200, ""}}, 0.01);
   int released = 0;
   for (int i = 0; i < 3; ++i) {
-    const auto result = run([&] { return scene.cloud.release({"m-1"}); });
+    const auto result = sim::run_to_end([&] { return scene.cloud.release({"m-1"}); });
     if (std::holds_alternative<Released>(result))
       ++released;
     else
--- /dev/null
+++ b/tests/sim/scripted_network.hpp
@@ -0,0 +1,50 @@
+// A network for tests of a client alone: it gives the answers that the test has prepared.
+#pragma once
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/io_context.hpp>
+#include <deque>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "http/transport.hpp"
+
+namespace finchrun::sim {
+
+/// Gives the prepared answers in their order, then none, and keeps what it was asked.
+struct ScriptedNetwork : http::Network {
+  struct ScriptedTransport : http::Transport {
+    explicit ScriptedTransport(ScriptedNetwork& network) : script(network) {}
+    boost::asio::awaitable<http::Answer> call(http::Verb, std::string target, std::string body,
+                                              std::chrono::milliseconds) override {
+      script.targets.push_back(std::move(target));
+      script.bodies.push_back(std::move(body));
+      if (script.answers.empty()) co_return http::Answer{};
+      auto answer = script.answers.front();
+      script.answers.pop_front();
+      co_return answer;
+    }
+    ScriptedNetwork& script;
+  };
+  std::unique_ptr<http::Transport> connect(const config::Endpoint&, std::size_t) override {
+    return std::make_unique<ScriptedTransport>(*this);
+  }
+  std::deque<http::Answer> answers;
+  std::vector<std::string> targets, bodies;
+};
+
+/// Runs the coroutine that `start` returns to its end; its result.
+template <class F>
+auto run_to_end(F&& start) {
+  boost::asio::io_context io;
+  std::optional<typename decltype(start())::value_type> result;
+  boost::asio::co_spawn(
+      io, [&]() -> boost::asio::awaitable<void> { result = co_await start(); }, boost::asio::detached);
+  io.run();
+  return *result;
+}
+
+}  // namespace finchrun::sim
--- a/tests/state/key_value_store_test.cpp
+++ b/tests/state/key_value_store_test.cpp
@@ -2,46 +2,14 @@
 
 #include <gtest/gtest.h>
 
-#include <boost/asio/co_spawn.hpp>
-#include <boost/asio/detached.hpp>
-#include <boost/asio/io_context.hpp>
 #include <deque>
 
+#include "sim/scripted_network.hpp"
+
 namespace finchrun::state {
 namespace {
 
-// Answers with what the test has prepared, and keeps what it was asked.
-struct Scripted : http::Network {
-  struct Line : http::Transport {
-    explicit Line(Scripted& s) : script(s) {}
-    asio::awaitable<http::Answer> call(http::Verb, std::string target, std::string body,
-                                       std::chrono::milliseconds) override {
-      script.asked.push_back(std::move(target));
-      script.bodies.push_back(std::move(body));
-      if (script.answers.empty()) co_return http::Answer{};
-      auto a = script.answers.front();
-      script.answers.pop_front();
-      co_return a;
-    }
-    Scripted& script;
-  };
-  std::unique_ptr<http::Transport> connect(const config::Endpoint&, std::size_t) override {
-    return std::make_unique<Line>(*this);
-  }
-  std::deque<http::Answer> answers;
-  std::vector<std::string> asked, bodies;
-};
-
-template <class F>
-auto run(F&& f) {
-  asio::io_context io;
-  using T = typename decltype(f())::value_type;
-  std::optional<T> out;
-  asio::co_spawn(
-      io, [&]() -> asio::awaitable<void> { out = co_await f(); }, asio::detached);
-  io.run();
-  return *out;
-}
+using sim::ScriptedNetwork;
 
 config::Settings settings(double write_rps, int txn_ops) {
   config::Settings s;
@@ -58,10 +26,10 @@
 };
 class Commit : public testing::TestWithParam<CommitCase> {};
 TEST_P(Commit, AnswerMeans) {
-  Scripted net;
+  ScriptedNetwork net;
   KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({GetParam().status, GetParam().body});
-  const auto result = run([&] { return store.commit(Transaction{}); });
+  const auto result = sim::run_to_end([&] { return store.commit(Transaction{}); });
   EXPECT_EQ(result.outcome, GetParam().outcome);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -84,7 +52,7 @@
   };
   for (const auto& c : {Case{5, 100, CommitStatus::done}, Case{6, 100, CommitStatus::too_large},
                         Case{1, 2046, CommitStatus::done}, Case{1, 2047, CommitStatus::too_large}}) {
-    Scripted net;
+    ScriptedNetwork net;
     auto s = settings(20, 5);
     s.state_limits.value_kb = 2;
     KeyValueStore store(net, s);
@@ -92,21 +60,21 @@
     Transaction txn;
     for (std::size_t i = 0; i < c.changes; ++i)
       txn.writes.push_back({"a/" + std::to_string(i), json::value(std::string(c.bytes, 'x'))});
-    EXPECT_EQ(run([&] { return store.commit(std::move(txn)); }).outcome, c.outcome)
+    EXPECT_EQ(sim::run_to_end([&] { return store.commit(std::move(txn)); }).outcome, c.outcome)
         << c.changes << " " << c.bytes;
-    EXPECT_EQ(net.asked.size(), c.outcome == CommitStatus::done ? 1u : 0u);
+    EXPECT_EQ(net.targets.size(), c.outcome == CommitStatus::done ? 1u : 0u);
   }
 }
 
 TEST(KeyValueStore, WritesATransactionAsTheProtocolSays) {
-  Scripted net;
+  ScriptedNetwork net;
   KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({200, R"({"epoch":432})"});
   Transaction txn;
   txn.compares.push_back({"a/b", 0});
   txn.writes.push_back({"a/b", json::object{{"x", 1}}, 7});
   txn.writes.push_back({"c/\"d", std::nullopt});
-  run([&] { return store.commit(std::move(txn)); });
+  sim::run_to_end([&] { return store.commit(std::move(txn)); });
   ASSERT_EQ(net.bodies.size(), 1u);
   EXPECT_EQ(json::parse(net.bodies[0]), json::parse(R"({"when":[{"k":"a/b","stamp":0}],
       "then":[{"set":"a/b","data":{"x":1},"hold":7},{"delete":"c/\"d"}]})"));
@@ -120,10 +88,10 @@
 };
 class ReadChanges : public testing::TestWithParam<ChangesCase> {};
 TEST_P(ReadChanges, AnswerMeans) {
-  Scripted net;
+  ScriptedNetwork net;
   KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({GetParam().status, GetParam().body});
-  const auto result = run([&] { return store.changes(7); });
+  const auto result = sim::run_to_end([&] { return store.changes(7); });
   ASSERT_EQ(std::holds_alternative<StoreError>(result), GetParam().error.has_value());
   if (GetParam().error) {
     EXPECT_EQ(std::get<StoreError>(result), *GetParam().error);
@@ -147,22 +115,22 @@
         ChangesCase{500, "", StoreError::malformed_answer, 0}, ChangesCase{0, "", StoreError::no_answer, 0}));
 
 TEST(KeyValueStore, ListsPageByPage) {
-  Scripted net;
+  ScriptedNetwork net;
   KeyValueStore store(net, settings(20, 16));
   net.answers.push_back(
       {200, R"({"epoch":9,"hasNext":true,"items":[{"k":"jobs/a b","data":{"x":1},"stamp":8}]})"});
   net.answers.push_back({200, R"({"epoch":9,"items":[]})"});
-  const auto first = run([&] { return store.list("", 500); });
+  const auto first = sim::run_to_end([&] { return store.list("", 500); });
   ASSERT_TRUE(std::holds_alternative<ListPage>(first));
   const auto& page = std::get<ListPage>(first);
   EXPECT_TRUE(page.more);
   EXPECT_EQ(page.revision, 9u);
   ASSERT_EQ(page.items.size(), 1u);
   EXPECT_EQ(page.items[0].revision, 8u);
-  const auto second = run([&] { return store.list("jobs/a b", 500); });
+  const auto second = sim::run_to_end([&] { return store.list("jobs/a b", 500); });
   EXPECT_EQ(std::get<StoreError>(second), StoreError::malformed_answer)
       << "does not say whether there is more";
-  EXPECT_EQ(net.asked,
+  EXPECT_EQ(net.targets,
             (std::vector<std::string>{"/store?under=&limit=500", "/store?under=&limit=500&from=jobs/a%20b"}));
 }
 
@@ -175,11 +143,12 @@
        {Case{{200, R"({"hold":71})"}, std::uint64_t{71}}, Case{{200, "{}"}, StoreError::malformed_answer},
         Case{{200, R"({"hold":"x"})"}, StoreError::malformed_answer}, Case{{503, ""}, StoreError::refused},
         Case{{0, ""}, StoreError::no_answer}}) {
-    Scripted net;
+    ScriptedNetwork net;
     KeyValueStore store(net, settings(20, 16));
     net.answers.push_back(c.answer);
-    EXPECT_EQ(run([&] { return store.grant_lease(4000); }), c.result) << c.answer.status << c.answer.body;
-    EXPECT_EQ(net.asked.at(0), "/grants");
+    EXPECT_EQ(sim::run_to_end([&] { return store.grant_lease(4000); }), c.result)
+        << c.answer.status << c.answer.body;
+    EXPECT_EQ(net.targets.at(0), "/grants");
     EXPECT_EQ(net.bodies.at(0), R"({"ttlMs":4000})");
   }
 }
@@ -190,18 +159,18 @@
        {std::pair{200, LeaseRenewal::renewed}, std::pair{404, LeaseRenewal::expired},
         std::pair{503, LeaseRenewal::unknown}, std::pair{429, LeaseRenewal::unknown},
         std::pair{0, LeaseRenewal::unknown}}) {
-    Scripted net;
+    ScriptedNetwork net;
     KeyValueStore store(net, settings(20, 16));
     net.answers.push_back({status, ""});
-    EXPECT_EQ(run([&] { return store.renew_lease(71); }), renewal) << status;
-    EXPECT_EQ(net.asked.at(0), "/grants/71/extend");
+    EXPECT_EQ(sim::run_to_end([&] { return store.renew_lease(71); }), renewal) << status;
+    EXPECT_EQ(net.targets.at(0), "/grants/71/extend");
   }
 }
 
 // A round once made transactions larger than the budget could ever grant, and nothing was placed any more.
 TEST(WriteBudget, LargestTransactionCanBeSpent) {
   for (const double rps : {5.0, 20.0, 50.0}) {
-    Scripted net;
+    ScriptedNetwork net;
     KeyValueStore store(net, settings(rps, 16));
     EXPECT_LE(store.max_writes(), 16u);
     EXPECT_TRUE(store.spend(static_cast<int>(store.max_writes()), KeyValueStore::For::records)) << rps;
@@ -212,7 +181,7 @@
 // leaders can write a round's shards at once, and records never take what a submission needs.
 TEST(WriteBudget, IsSharedByWhoLeadsPartitions) {
   for (const double rps : {20.0, 50.0}) {
-    Scripted net;
+    ScriptedNetwork net;
     KeyValueStore leader(net, settings(rps, 16)), other(net, settings(rps, 16));
     leader.use_share_of_writes(1.0 / 2);
     other.use_share_of_writes(0.25 / 3);
