--- a/src/agent/fleet.cpp
+++ b/src/agent/fleet.cpp
@@ -13,6 +13,12 @@
   return machine;
 }
 
+Machine& Fleet::see(jobs::Names& names, const std::string& name, core::TimePoint now) {
+  auto& machine = intern(names, name);
+  if (machine.first_seen == core::TimePoint{}) machine.first_seen = now;
+  return machine;
+}
+
 Machine* Fleet::find(core::MachineId id) {
   const auto found = machines_.find(id);
   return found == machines_.end() ? nullptr : &found->second;
--- a/src/agent/fleet.hpp
+++ b/src/agent/fleet.hpp
@@ -56,6 +56,8 @@
  public:
   /// The machine of this name; one that was not known is added, with its name only.
   Machine& intern(jobs::Names& names, const std::string& name);
+  /// The same; notes when this controller first saw it.
+  Machine& see(jobs::Names& names, const std::string& name, core::TimePoint now);
   [[nodiscard]] Machine* find(core::MachineId id);
   [[nodiscard]] const Machine* find(core::MachineId id) const;
   [[nodiscard]] std::map<core::MachineId, Machine>& all() { return machines_; }
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -22,8 +22,7 @@
 
 void apply_listed(ControllerState& state, const cloud::ListedMachine& listed, core::TimePoint now) {
   if (state.fleet.was_deleted(state.names, listed.name)) return;  // the list lags
-  auto& machine = state.fleet.intern(state.names, listed.name);
-  if (machine.first_seen == core::TimePoint{}) machine.first_seen = now;
+  auto& machine = state.fleet.see(state.names, listed.name, now);
   machine.listed = machine.ever_listed = true;
   machine.type = state.names.types.intern(listed.type);
   machine.zone = state.names.zones.intern(listed.zone);
--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -44,10 +44,6 @@
   bool operator()(const MachineKind& a, const MachineKind& b) const { return joined(a) < joined(b); }
 };
 
-bool allows_type(const sched::Demand& demand, core::MachineTypeId type) {
-  return !demand.types || std::find(demand.types->begin(), demand.types->end(), type) != demand.types->end();
-}
-
 bool offered_in(const MachineType& type, const std::string& zone) {
   return std::find(type.zones.begin(), type.zones.end(), zone) != type.zones.end();
 }
@@ -121,7 +117,7 @@
     const auto& demand = item.demand;
     const auto takes = [&](const Room& room) {
       return room.partition == item.partition && demand.need.fits(room.free) && (!room.spot || demand.spot) &&
-             allows_type(demand, room.type);
+             jobs::type_allowed(demand.types, room.type);
     };
     std::uint32_t filled = 0;
     auto room = arriving_.begin();
@@ -144,7 +140,8 @@
   [[nodiscard]] bool on_demand_available(const sched::Demand& demand, const std::string& zone) const {
     for (std::size_t i = 0; i < state_.fleet.machine_types.size(); ++i) {
       const auto& type = state_.fleet.machine_types[i];
-      if (!allows_type(demand, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone)) continue;
+      if (!jobs::type_allowed(demand.types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
+        continue;
       if (!demand.need.fits(type.size)) continue;
       if (!backoff_.backing_off({type.name, zone, false}, now_)) return true;
     }
@@ -166,7 +163,8 @@
     std::optional<Offer> best;
     for (std::size_t i = 0; i < state_.fleet.machine_types.size(); ++i) {
       const auto& type = state_.fleet.machine_types[i];
-      if (!allows_type(demand, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone)) continue;
+      if (!jobs::type_allowed(demand.types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
+        continue;
       const int tasks_per_machine = demand.need.times_in(type.size);
       if (tasks_per_machine < 1) continue;
       for (const bool spot : {false, true}) {
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -29,17 +29,10 @@
   http::Response operator()(const MachineDeleted&) const { return retry_later("machine was returned"); }
 };
 
-agent::Machine& intern_machine(ControllerState& state, const wire::Heartbeat& heartbeat,
-                               core::TimePoint now) {
-  auto& machine = state.fleet.intern(state.names, heartbeat.machine);
-  if (machine.first_seen == core::TimePoint{}) machine.first_seen = now;
-  return machine;
-}
-
 // What the agent says of its machine itself.
 agent::Machine& describe_machine(ControllerState& state, const wire::Heartbeat& heartbeat,
                                  core::PartitionId partition, core::TimePoint now) {
-  auto& machine = intern_machine(state, heartbeat, now);
+  auto& machine = state.fleet.see(state.names, heartbeat.machine, now);
   machine.type = state.names.types.intern(heartbeat.type);
   machine.zone = state.partitions.zone(partition);
   machine.partition = partition;
@@ -61,16 +54,16 @@
   const auto now = core::Steady::now();
   bool changed = false;
   auto response = state_.with([&](ControllerState& state) {
-    if (const auto refusal = why_not_answered(state, heartbeat, now))
+    const auto partition = partition_of(state, heartbeat);
+    if (const auto refusal = why_not_answered(state, heartbeat, partition, now))
       return std::visit(RefusalResponse{}, *refusal);
-    const auto partition = *partition_of(state, heartbeat);
-    auto& machine = describe_machine(state, heartbeat, partition, now);
+    auto& machine = describe_machine(state, heartbeat, *partition, now);
     auto result = state.take(machine, heartbeat, now, false);
     if (result.kind == agent::HeartbeatResult::Kind::deposed) {
       spdlog::debug(
           "heartbeat refused machine={} partition={} fencing_token={} agent_fencing_token={} "
           "reason=agent_obeys_newer_leader",
-          machine.name, state.names.partitions.name(partition), state.fencing_token(partition),
+          machine.name, state.names.partitions.name(*partition), state.fencing_token(*partition),
           heartbeat.fencing_token);
       return redirect_to(std::nullopt);
     }
@@ -79,7 +72,7 @@
     // commands may have overtaken it, and turning its agent away would only send it round the other
     // controllers.
     return http::Response{http::status::kOk,
-                          wire::render_commands(state.fencing_token(partition), result.commands)};
+                          wire::render_commands(state.fencing_token(*partition), result.commands)};
   });
   if (changed) writer_wakeup_.notify();
   return response;
@@ -93,7 +86,7 @@
   return state_.with([&](ControllerState& state) -> std::optional<std::size_t> {
     const auto partition = partition_of(state, *heartbeat);
     if (!partition) return std::nullopt;
-    auto& machine = intern_machine(state, *heartbeat, now);
+    auto& machine = state.fleet.see(state.names, heartbeat->machine, now);
     const auto forwarding =
         decide_forwarding(machine, *heartbeat, state.fencing_token(*partition), state.settings.report_s, now);
     machine.relayed = forwarding == Forwarding::relay_unasked;
--- a/src/gateway/heartbeat_routing.cpp
+++ b/src/gateway/heartbeat_routing.cpp
@@ -11,8 +11,9 @@
 }
 
 std::optional<HeartbeatRefusal> why_not_answered(const ControllerState& state,
-                                                 const wire::Heartbeat& heartbeat, core::TimePoint now) {
-  const auto partition = partition_of(state, heartbeat);
+                                                 const wire::Heartbeat& heartbeat,
+                                                 std::optional<core::PartitionId> partition,
+                                                 core::TimePoint now) {
   if (!partition) return OutsideDeployment{};
   if (!state.leads(*partition)) {
     const auto& leader = state.cache.leadership(*partition).leader;
--- a/src/gateway/heartbeat_routing.hpp
+++ b/src/gateway/heartbeat_routing.hpp
@@ -24,9 +24,12 @@
 using HeartbeatRefusal =
     std::variant<OutsideDeployment, LedElsewhere, NoLeader, CancellationsUnknown, MachineDeleted>;
 
-/// Nothing if this controller leads the machine's partition and may answer its agent.
+/// Nothing if this controller leads the machine's partition (`partition_of` the heartbeat) and may answer its
+/// agent.
 std::optional<HeartbeatRefusal> why_not_answered(const controller::ControllerState& state,
-                                                 const wire::Heartbeat& heartbeat, core::TimePoint now);
+                                                 const wire::Heartbeat& heartbeat,
+                                                 std::optional<core::PartitionId> partition,
+                                                 core::TimePoint now);
 
 /// What happens to a heartbeat of another leader's partition.
 enum class Forwarding {
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -1,6 +1,7 @@
 // A job, what is durable about it, and the form in which the key-value store keeps that.
 #pragma once
 
+#include <algorithm>
 #include <boost/json.hpp>
 #include <cstdint>
 #include <limits>
@@ -39,6 +40,12 @@
 // The expected run time of what has no end in sight.
 inline constexpr double kNoEnd = std::numeric_limits<double>::infinity();
 
+/// A machine of this type may be used. `types`: those that a job allows; nothing: any.
+inline bool type_allowed(const std::optional<std::vector<core::MachineTypeId>>& types,
+                         core::MachineTypeId type) {
+  return !types || std::find(types->begin(), types->end(), type) != types->end();
+}
+
 struct JobSpec {
   core::JobClassId job_class;
   core::TeamId team;
@@ -53,7 +60,7 @@
   bool one_zone = false;
   bool spread = false;
   bool spot = false;
-  double expected_run_s = 0;  // the leader's estimate of a task's run time; `kNoEnd` for a standing job
+  double expected_run_s = 0;  // its user's estimate of a task's run time; `kNoEnd` for a service
   double checkpoint_s = 0;
   double save_s = 0;
   std::optional<double> deadline_s;
@@ -63,9 +70,7 @@
   [[nodiscard]] bool standing() const { return shape == Shape::standing; }
   // All of its tasks have to run at the same time to be of full use.
   [[nodiscard]] bool needs_all_tasks() const { return shape != Shape::array; }
-  [[nodiscard]] bool allows_type(core::MachineTypeId t) const {
-    return !types || std::find(types->begin(), types->end(), t) != types->end();
-  }
+  [[nodiscard]] bool allows_type(core::MachineTypeId t) const { return type_allowed(types, t); }
   // Grace to give when the task is stopped, so that it can save: none if it can't.
   [[nodiscard]] double stop_grace_s() const { return checkpoint_s > 0 ? save_s * 1.5 + 2 : 0; }
   // `spread`: most of the tasks that may be in one zone.
--- a/src/sched/place.cpp
+++ b/src/sched/place.cpp
@@ -4,6 +4,8 @@
 #include <functional>
 #include <numeric>
 
+#include "jobs/job.hpp"
+
 namespace finchrun::sched {
 namespace {
 
@@ -42,13 +44,9 @@
   return share;
 }
 
-bool type_allowed(const std::optional<std::vector<core::MachineTypeId>>& types, core::MachineTypeId type) {
-  return !types || std::find(types->begin(), types->end(), type) != types->end();
-}
-
 bool can_host(const Node& node, const JobClassProfile& job_class) {
   if (node.spot && !job_class.spot) return false;
-  return type_allowed(job_class.types, node.type) && job_class.need.fits(node.size);
+  return jobs::type_allowed(job_class.types, node.type) && job_class.need.fits(node.size);
 }
 
 // Beside what any task costs: a replica is small and is expected within seconds, so the fetch outweighs the
@@ -150,7 +148,7 @@
 // Places all tasks of a gang, or none. True if it was placed.
 bool place_gang(std::size_t index, const Demand& demand, std::vector<Node>& nodes, TeamQuota& quota,
                 std::vector<Placement>& placements) {
-  const auto need_of_all = demand.need * static_cast<double>(demand.tasks.size());
+  const auto need_of_all = demand.need_at_once();
   if (demand.tasks.size() > demand.room_in_zone || !quota.allows(need_of_all)) return false;
   CheapestNodes cheapest(nodes, demand);
   std::vector<std::size_t> taken;
@@ -227,7 +225,7 @@
 bool allowed(const Demand& demand, const Node& node) {
   if (node.spot && !demand.spot) return false;
   if (demand.zone && *demand.zone != node.zone) return false;
-  return type_allowed(demand.types, node.type);
+  return jobs::type_allowed(demand.types, node.type);
 }
 
 Plan place(std::vector<Node> nodes, const std::vector<Demand>& demands, const std::vector<Costs>& costs,
--- a/src/sched/place.hpp
+++ b/src/sched/place.hpp
@@ -48,12 +48,17 @@
   std::vector<std::uint32_t> tasks;                       // the first of them; for a gang all
   std::uint32_t room_in_zone = 0;                         // how many more tasks this zone may take (`spread`)
   double waited_s = 0;                                    // since the job was submitted
-  double expected_run_s = 0;                              // the leader's estimate of a task's run time
+  double expected_run_s = 0;                              // the user's estimate of a task's run time
   core::JobClassId job_class;
   bool within = false;           // fits its team's guarantee together with the team's earlier unfinished jobs
   bool guaranteed = false;       // `within`, and has waited for longer than room needs to come free by itself
   bool deferrable = false;       // only its deadline counts, and that is still far
   bool has_reservation = false;  // room is being made or kept for it already
+
+  /// What has to be free at the same time for it to start: one task; of a gang all.
+  [[nodiscard]] core::Resources need_at_once() const {
+    return gang ? need * static_cast<double>(tasks.size()) : need;
+  }
 };
 
 /// What jobs of a job class look like lately, and how many of their tasks run or wait.
--- a/src/sched/preempt.cpp
+++ b/src/sched/preempt.cpp
@@ -249,9 +249,9 @@
   std::vector<std::size_t> gangs;
   for (const auto index : unplaced) {
     const auto& demand = demands[index];
-    const auto need_of_all = demand.need * static_cast<double>(demand.tasks.size());
     if (demand.gang && !demand.has_reservation && demand.waited_s > min_wait_s &&
-        demand.tasks.size() <= demand.room_in_zone && quotas.at(demand.team.index).allows(need_of_all))
+        demand.tasks.size() <= demand.room_in_zone &&
+        quotas.at(demand.team.index).allows(demand.need_at_once()))
       gangs.push_back(index);
   }
   std::stable_sort(gangs.begin(), gangs.end(),
--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -30,16 +30,15 @@
 
 // Adds what the unplaced demand lacks of its team's share, if the share is what it waits for.
 void add_lacking(core::Resources& lacking, const sched::TeamQuota& quota, const sched::Demand& demand) {
-  const auto waiting = demand.tasks.size();
-  const double at_once = demand.gang ? static_cast<double>(waiting) : 1;
-  if (quota.allows(demand.need * at_once)) return;
+  const auto need_at_once = demand.need_at_once();
+  if (quota.allows(need_at_once)) return;
   if (demand.gang) {
     auto total = quota.used;
-    total += demand.need * at_once;
+    total += need_at_once;
     lacking.cpus = std::max(lacking.cpus, total.cpus - quota.cpus_max);
     lacking.gpus = std::max(lacking.gpus, total.gpus - quota.gpus_max);
   } else {
-    const auto requested = static_cast<double>(std::min(waiting, kMaxArrayTasksRequested));
+    const auto requested = static_cast<double>(std::min(demand.tasks.size(), kMaxArrayTasksRequested));
     lacking.cpus += demand.need.cpus * requested;
     lacking.gpus += demand.need.gpus * requested;
   }
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -60,7 +60,7 @@
                   const std::vector<core::Resources>& used_by_team) {
   const auto& team = state.settings.teams[demand.team.index];
   const sched::TeamQuota quota{used_by_team[demand.team.index], team.cpus_max, team.gpus_max};
-  return quota.allows(demand.gang ? demand.need * static_cast<double>(demand.tasks.size()) : demand.need);
+  return quota.allows(demand.need_at_once());
 }
 
 // The record of the item's job, if this controller may move tasks of it and moving them may help.
--- a/src/scheduling/scheduling_round.cpp
+++ b/src/scheduling/scheduling_round.cpp
@@ -51,8 +51,7 @@
   }
   for (const auto index : plan.unplaced) {
     const auto& demand = demands[index];
-    const double at_once = demand.gang ? static_cast<double>(demand.tasks.size()) : 1;
-    summary.over_quota += plan.teams.at(demand.team.index).allows(demand.need * at_once) ? 0 : 1;
+    summary.over_quota += plan.teams.at(demand.team.index).allows(demand.need_at_once()) ? 0 : 1;
     summary.with_reservation += demand.has_reservation ? 1 : 0;
   }
   return summary;
--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -255,7 +255,7 @@
   Leader leader;
   auto heartbeat = leader.heartbeat();
   GetParam().change(leader, heartbeat);
-  const auto refusal = why_not_answered(leader.state, heartbeat, kNow);
+  const auto refusal = why_not_answered(leader.state, heartbeat, partition_of(leader.state, heartbeat), kNow);
   ASSERT_EQ(refusal.has_value(), GetParam().expected.has_value());
   if (refusal) {
     EXPECT_EQ(refusal->index(), GetParam().expected->index());
