--- a/src/ledger/quota_shares.cpp
+++ b/src/ledger/quota_shares.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Of one kind of resource: moves from a share what is not used and is requested. True if anything moved.
-bool grant(double& from, double used, double& to, double& requested) {
+// Moves the unused and requested amount of one resource between two shares. Returns true if they changed.
+bool transfer(double& from, double used, double& to, double& requested) {
   const double amount = std::min(requested, from - used);
-  if (amount < QuotaShares::kLeastAmount) return false;
+  if (amount < QuotaShares::kMinAmount) return false;
   from -= amount;
   to += amount;
   requested -= amount;
@@ -39,8 +39,8 @@
   bool moved = false;
   for (std::size_t to = 0; to < share_.size(); ++to) {
     if (to == from.index) continue;
-    moved |= grant(surplus.cpus, used.cpus, share_[to].cpus, requested_[to].cpus);
-    moved |= grant(surplus.gpus, used.gpus, share_[to].gpus, requested_[to].gpus);
+    moved |= transfer(surplus.cpus, used.cpus, share_[to].cpus, requested_[to].cpus);
+    moved |= transfer(surplus.gpus, used.gpus, share_[to].gpus, requested_[to].gpus);
   }
   return moved;
 }
--- a/src/ledger/quota_shares.hpp
+++ b/src/ledger/quota_shares.hpp
@@ -1,4 +1,4 @@
-// A team's limit, divided into shares of the partitions.
+// The division of a team's limit into shares for the partitions.
 #pragma once
 
 #include <vector>
@@ -8,16 +8,16 @@
 
 namespace finchrun::ledger {
 
-/// The shares of one team: what each partition's leader may book for the team without asking anybody (rule
-/// `quota`). They always add up to the limit. A partition that needs more requests it; one that has some to
-/// spare grants it. Until anything was granted, every partition has an equal share; controllers of all
-/// versions must start from that.
+/// The quota shares of one team: the amount that each partition's leader may allocate to the team without
+/// coordination (rule `quota`). The shares always add up to the limit. A partition requests what it lacks,
+/// and others grant their surplus. Initially all shares are equal; controllers of all versions must assume
+/// that.
 ///
-/// Only processors and accelerators count; a limit of 0 means none.
+/// Only CPUs and accelerators are limited; a limit of 0 means unlimited.
 class QuotaShares {
  public:
-  /// Requests and grants of less are not worth a change of the record.
-  static constexpr double kLeastAmount = 1e-3;
+  /// Smaller requests and grants are ignored, to avoid writes of the record.
+  static constexpr double kMinAmount = 1e-3;
 
   QuotaShares() = default;
   QuotaShares(core::Resources limit, std::size_t partitions);
@@ -26,17 +26,16 @@
   [[nodiscard]] const core::Resources& share(core::PartitionId partition) const {
     return share_.at(partition.index);
   }
-  /// What the partition would like to have beyond its share.
+  /// The amount that the partition requests in addition to its share.
   [[nodiscard]] const core::Resources& requested(core::PartitionId partition) const {
     return requested_.at(partition.index);
   }
-  /// Takes over what the team's record says of the partition.
+  /// Sets the partition's share and request from the team's record.
   void restore(core::PartitionId partition, core::Resources share, core::Resources requested);
-  /// Requests so much more, in place of what was requested before; never more than the limit leaves to the
-  /// other partitions.
+  /// Replaces the partition's request, limited to the sum of the other partitions' shares.
   void request(core::PartitionId partition, core::Resources more);
-  /// Moves what `from` has beyond `used` to the partitions that request it, in their order. True if anything
-  /// moved. Only for the leader of `from`, who alone knows what is used there.
+  /// Moves the share of `from` beyond `used` to the requesting partitions, in their order. Returns true if
+  /// any share changed. Only the leader of `from` may call this, since only it knows the usage there.
   bool grant_surplus(core::PartitionId from, const core::Resources& used);
 
  private:
--- a/src/ledger/usage.cpp
+++ b/src/ledger/usage.cpp
@@ -5,24 +5,24 @@
 namespace finchrun::ledger {
 
 void UsageWindows::add(core::TeamId team, double core_seconds, double now_s) {
-  roll(now_s);
+  advance(now_s);
   windows_.front().at(team.index) += core_seconds;
 }
 
-void UsageWindows::roll(double now_s) {
+void UsageWindows::advance(double now_s) {
   const auto index = static_cast<std::int64_t>(now_s / window_s_);
   if (windows_.empty()) {
     windows_.emplace_front(teams_, 0.0);
     index_ = index;
   }
-  // The time of day may step back a little: then the newest window goes on.
+  // The wall clock may step back; the newest window then stays current.
   for (std::size_t steps = 0; index_ < index; ++index_) {
-    if (++steps > keep_) {  // a long gap: nothing older counts any more
+    if (++steps > max_windows_) {  // the gap exceeds all kept windows
       index_ = index;
       break;
     }
     windows_.emplace_front(teams_, 0.0);
-    if (windows_.size() > keep_) windows_.pop_back();
+    if (windows_.size() > max_windows_) windows_.pop_back();
   }
 }
 
--- a/src/ledger/usage.hpp
+++ b/src/ledger/usage.hpp
@@ -1,4 +1,5 @@
-// Usage windows: booked core-seconds of every team, decayed by age (the paper's equations 2 and 3).
+// Usage windows: core-seconds used by each team, decayed by age (equations 2 and 3 of the paper in
+// sched/rank.hpp).
 #pragma once
 
 #include <cstdint>
@@ -9,31 +10,31 @@
 
 namespace finchrun::ledger {
 
-/// What every team used of one partition lately, for fair shares. The time of day is cut into windows,
-/// numbered from its zero, so that the next leader of the partition goes on in the same windows.
+/// The recent usage of one partition by each team, for fair sharing. Windows are numbered from the epoch of
+/// the wall clock, so that the partition's next leader continues the same windows.
 class UsageWindows {
  public:
-  /// `windows`: how many are kept. `decay`: what a window counts in relation to the next newer one.
+  /// Keeps up to `windows` windows. `decay` is the weight of a window relative to the next newer one.
   UsageWindows(std::size_t teams, double window_s, int windows, double decay)
-      : teams_(teams), window_s_(window_s), keep_(static_cast<std::size_t>(windows)), decay_(decay) {}
+      : teams_(teams), window_s_(window_s), max_windows_(static_cast<std::size_t>(windows)), decay_(decay) {}
 
-  /// Adds core-seconds to the window that the time of day `now_s` falls into.
+  /// Adds core-seconds to the window that contains the wall time `now_s`.
   void add(core::TeamId team, double core_seconds, double now_s);
-  /// Begins the windows up to the one that the time of day falls into, and drops the oldest.
-  void roll(double now_s);
-  /// Usage of each team, the newest window undecayed.
+  /// Adds empty windows up to the one that contains the wall time `now_s`, and drops the oldest.
+  void advance(double now_s);
+  /// Returns the decayed usage by team; the newest window has weight 1.
   [[nodiscard]] std::vector<double> decayed() const;
   /// Core-seconds by team, newest window first.
   [[nodiscard]] const std::deque<std::vector<double>>& windows() const { return windows_; }
   /// The number of the newest window.
   [[nodiscard]] std::int64_t index() const { return index_; }
-  /// Takes over what an earlier leader recorded, newest first, for the window numbered `index`.
+  /// Restores the windows recorded by an earlier leader, newest first; `index` is the number of the newest.
   void restore(std::int64_t index, std::deque<std::vector<double>> windows);
 
  private:
   std::size_t teams_;
   double window_s_;
-  std::size_t keep_;
+  std::size_t max_windows_;
   double decay_;
   std::int64_t index_ = 0;
   std::deque<std::vector<double>> windows_;
--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -15,17 +15,17 @@
 using state::CommitStatus;
 
 constexpr std::size_t kMaxArrayTasksRequested = 16;  // as many as could start at once, not all that wait
-constexpr double kLeastAmount = QuotaShares::kLeastAmount;
+constexpr double kMinAmount = QuotaShares::kMinAmount;
 constexpr double kRequestGrowth = 1.25;     // a request is raised only by more than this factor
 constexpr double kWithdrawalIntervalS = 2;  // at least between two withdrawals of this controller
 
 enum class RequestChange { none, raised, withdrawn };
 
 bool notable(const core::Resources& amount) {
-  return amount.cpus > kLeastAmount || amount.gpus > kLeastAmount;
+  return amount.cpus > kMinAmount || amount.gpus > kMinAmount;
 }
 bool exceeds(const core::Resources& amount, const core::Resources& other, double factor) {
-  return amount.cpus > other.cpus * factor + kLeastAmount || amount.gpus > other.gpus * factor + kLeastAmount;
+  return amount.cpus > other.cpus * factor + kMinAmount || amount.gpus > other.gpus * factor + kMinAmount;
 }
 
 // Adds what the unplaced demand lacks of its team's share, if the share is what it waits for.
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -40,7 +40,7 @@
       if (!record.windows.empty()) usage.restore(record.index, record.windows);
       usage_from = state.fencing_token(partition);
     }
-    usage.roll(wall_s);
+    usage.advance(wall_s);
   });
 }
 
@@ -68,7 +68,7 @@
   const auto& tuning = state.tuning;
   ledger::UsageWindows windows(state.settings.teams.size(), tuning.window_s, tuning.windows, tuning.decay);
   windows.restore(record.index, record.windows);
-  windows.roll(wall_s);
+  windows.advance(wall_s);
   return windows.decayed();
 }
 
