--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -57,7 +57,7 @@
     collect_room();
     spot_work_exists_ = std::any_of(
         state.job_classes.begin(), state.job_classes.end(),
-        [](const sched::JobClassProfile& job_class) { return job_class.spot && job_class.tasks >= 1; });
+        [](const sched::JobClassProfile& job_class) { return job_class.spot && job_class.active_tasks >= 1; });
   }
 
   void add(const scheduling::BacklogItem& item) {
@@ -117,7 +117,7 @@
     const auto& demand = item.demand;
     const auto takes = [&](const Room& room) {
       return room.partition == item.partition && demand.need.fits(room.free) && (!room.spot || demand.spot) &&
-             jobs::type_allowed(demand.types, room.type);
+             jobs::type_allowed(demand.allowed_types, room.type);
     };
     std::uint32_t filled = 0;
     auto room = arriving_.begin();
@@ -140,7 +140,7 @@
   [[nodiscard]] bool on_demand_available(const sched::Demand& demand, const std::string& zone) const {
     for (std::size_t i = 0; i < state_.fleet.machine_types.size(); ++i) {
       const auto& type = state_.fleet.machine_types[i];
-      if (!jobs::type_allowed(demand.types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
+      if (!jobs::type_allowed(demand.allowed_types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
         continue;
       if (!demand.need.fits(type.size)) continue;
       if (!backoff_.backing_off({type.name, zone, false}, now_)) return true;
@@ -163,7 +163,7 @@
     std::optional<Offer> best;
     for (std::size_t i = 0; i < state_.fleet.machine_types.size(); ++i) {
       const auto& type = state_.fleet.machine_types[i];
-      if (!jobs::type_allowed(demand.types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
+      if (!jobs::type_allowed(demand.allowed_types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
         continue;
       const int tasks_per_machine = demand.need.times_in(type.size);
       if (tasks_per_machine < 1) continue;
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -174,11 +174,11 @@
     auto& profile = job_classes[spec.job_class.index];
     profile.need = spec.need;
     profile.spot = spec.spot;
-    profile.types = spec.types;
+    profile.allowed_types = spec.types;
     unfinished[spec.job_class.index] += unfinished_tasks(cache, id);
   }
   for (std::size_t i = 0; i < job_classes.size(); ++i)
-    job_classes[i].tasks = std::max(unfinished[i], job_classes[i].tasks * kJobClassFade);
+    job_classes[i].active_tasks = std::max(unfinished[i], job_classes[i].active_tasks * kJobClassFade);
 }
 
 bool ControllerState::deferrable(const jobs::JobSpec& spec, double now_s) const {
--- a/src/sched/distribute.cpp
+++ b/src/sched/distribute.cpp
@@ -8,24 +8,24 @@
 namespace finchrun::sched {
 namespace {
 
-// The parts of `suitability`: what counts is which of two partitions has more.
-constexpr double kRoomScore = 100;  // for room for all tasks now
-constexpr double kImageScore = 10;  // an image that is there decides between partitions with like room
-constexpr double kSpareScore = 5;   // decides between partitions that are all full, or all free enough
-constexpr double kNoCapacityScore = -1000;  // tasks would wait there until machines come
+// Terms of `suitability`. Only the order of the partitions' scores matters, not their values.
+constexpr double kFreeCapacityScore = 100;  // if all tasks fit now
+constexpr double kImageScore = 10;          // decides between similar free capacities
+constexpr double kQueueLengthScore = 5;     // decides if all are full or have enough free capacity
+constexpr double kNoCapacityScore = -1000;  // tasks would wait until machines are added
 
-// How many tasks fit beside what waits there already; below 0: even that does not fit.
-double spare(const PartitionCapacity& partition) { return partition.free - partition.backlog; }
+// Negative if the backlog itself does not fit.
+double free_after_backlog(const PartitionCapacity& partition) { return partition.free - partition.backlog; }
 
-// A partition without machines still counts a little, since machines may come.
-double capacity_of(const PartitionCapacity& partition) { return std::max(1.0, partition.capacity); }
+// A partition without machines has a small weight, since machines may be added.
+double capacity_weight(const PartitionCapacity& partition) { return std::max(1.0, partition.capacity); }
 
-// How good the partition is for so many tasks at once; higher is better.
+// Higher is better.
 double suitability(const PartitionCapacity& partition, double tasks) {
-  double score = std::min(spare(partition), tasks) / std::max(1.0, tasks) * kRoomScore;
+  double score = std::min(free_after_backlog(partition), tasks) / std::max(1.0, tasks) * kFreeCapacityScore;
   if (partition.has_image) score += kImageScore;
-  // Between partitions that are all full (or all free enough): the one whose queue is shortest for its size.
-  score += kSpareScore * (spare(partition) / capacity_of(partition));
+  // If all partitions are full, or all have enough free capacity, prefers the shortest queue per capacity.
+  score += kQueueLengthScore * (free_after_backlog(partition) / capacity_weight(partition));
   if (partition.capacity <= 0) score += kNoCapacityScore;
   return score;
 }
@@ -37,27 +37,27 @@
   return allowed.empty() ? partitions : allowed;
 }
 
-// Shares of a job's tasks, given out step by step under the job's cap for each zone.
+// Numbers of tasks assigned to each partition, within the job's limit for each zone.
 class TaskShares {
  public:
-  explicit TaskShares(std::uint32_t tasks) : left_(tasks) {}
+  explicit TaskShares(std::uint32_t tasks) : remaining_(tasks) {}
 
-  [[nodiscard]] std::uint32_t left() const { return left_; }
-  [[nodiscard]] std::uint32_t of(core::PartitionId partition) { return shares_[partition]; }
-  // Gives the partition up to `wanted` more, as far as tasks are left and its zone may take them.
-  void give(const PartitionCapacity& partition, double wanted, std::uint32_t zone_cap) {
+  [[nodiscard]] std::uint32_t remaining() const { return remaining_; }
+  [[nodiscard]] std::uint32_t assigned_to(core::PartitionId partition) { return shares_[partition]; }
+  // Assigns up to `wanted` more tasks to the partition, limited by the remaining tasks and the zone limit.
+  void assign(const PartitionCapacity& partition, double wanted, std::uint32_t zone_cap) {
     auto& in_zone = in_zone_[partition.zone];
     const auto zone_room = zone_cap - std::min(zone_cap, in_zone);
     const auto count =
-        std::min({left_, zone_room, static_cast<std::uint32_t>(std::max(0.0, std::floor(wanted)))});
+        std::min({remaining_, zone_room, static_cast<std::uint32_t>(std::max(0.0, std::floor(wanted)))});
     shares_[partition.partition] += count;
     in_zone += count;
-    left_ -= count;
+    remaining_ -= count;
   }
-  // Gives the partition all that is left, whatever its zone may take.
-  void give_rest(core::PartitionId partition) {
-    if (left_ > 0) shares_[partition] += left_;
-    left_ = 0;
+  // Assigns all remaining tasks to the partition, regardless of the zone limit.
+  void assign_remaining(core::PartitionId partition) {
+    if (remaining_ > 0) shares_[partition] += remaining_;
+    remaining_ = 0;
   }
   [[nodiscard]] std::vector<jobs::Range> ranges() const {
     std::vector<jobs::Range> ranges;
@@ -71,12 +71,12 @@
   }
 
  private:
-  std::uint32_t left_;
+  std::uint32_t remaining_;
   std::map<core::PartitionId, std::uint32_t> shares_;
   std::map<core::ZoneId, std::uint32_t> in_zone_;
 };
 
-// An equal part of the tasks for each zone, rounded up.
+// Returns an equal share of the tasks for each zone, rounded up.
 std::uint32_t even_zone_cap(const jobs::JobSpec& spec, const std::vector<PartitionCapacity>& partitions) {
   std::set<core::ZoneId> zones;
   for (const auto& partition : partitions) zones.insert(partition.zone);
@@ -96,28 +96,31 @@
                                        });
     return {{0, spec.tasks, best->partition}};
   }
-  // Task by task in effect, but computed by levels: first the room that is free, then by capacity.
+  // Has the effect of assigning task by task, but assigns in bulk: first to free capacity, then in proportion
+  // to total capacity.
   std::sort(partitions.begin(), partitions.end(),
             [&](const PartitionCapacity& a, const PartitionCapacity& b) {
               return suitability(a, spec.tasks) > suitability(b, spec.tasks);
             });
   TaskShares shares(spec.tasks);
   const auto zone_cap = spec.zone_cap();
-  // A zone that is lost should take no more replicas along than it must.
+  // An uneven spread would lose more replicas than necessary in a zone outage.
   if (spec.standing() && spec.spread) {
     const auto even_cap = even_zone_cap(spec, partitions);
-    for (const auto& partition : partitions) shares.give(partition, spare(partition), even_cap);
+    for (const auto& partition : partitions)
+      shares.assign(partition, free_after_backlog(partition), even_cap);
   }
   for (const auto& partition : partitions)
-    shares.give(partition, spare(partition) - shares.of(partition.partition), zone_cap);
+    shares.assign(partition, free_after_backlog(partition) - shares.assigned_to(partition.partition),
+                  zone_cap);
   double capacity = 0;
-  for (const auto& partition : partitions) capacity += capacity_of(partition);
-  const std::uint32_t rest = shares.left();
+  for (const auto& partition : partitions) capacity += capacity_weight(partition);
+  const std::uint32_t rest = shares.remaining();
   for (const auto& partition : partitions)
-    shares.give(partition, std::ceil(rest * capacity_of(partition) / capacity), zone_cap);
-  for (const auto& partition : partitions) shares.give(partition, shares.left(), zone_cap);
-  // `spread` in a deployment with too few zones: what no zone may take waits in the first partition.
-  shares.give_rest(partitions.front().partition);
+    shares.assign(partition, std::ceil(rest * capacity_weight(partition) / capacity), zone_cap);
+  for (const auto& partition : partitions) shares.assign(partition, shares.remaining(), zone_cap);
+  // With `spread` and too few zones, tasks beyond all zone limits wait in the first partition.
+  shares.assign_remaining(partitions.front().partition);
   return shares.ranges();
 }
 
--- a/src/sched/distribute.hpp
+++ b/src/sched/distribute.hpp
@@ -1,4 +1,5 @@
-/// Distributes a job's tasks over partitions in ranges, by the partitions' free room. Pure.
+/// Splits a job's tasks into ranges and assigns the ranges to partitions by their free capacity. Has no side
+/// effects.
 #pragma once
 
 #include <cstdint>
@@ -8,20 +9,20 @@
 
 namespace finchrun::sched {
 
-/// What a partition has for tasks of one job; all amounts in such tasks.
+/// The capacity of one partition for the tasks of one job, counted in tasks of that job.
 struct PartitionCapacity {
   core::PartitionId partition;
   core::ZoneId zone;
-  bool allowed = true;     // the job's zone and machine types can be met here
-  double free = 0;         // how many fit now
-  double backlog = 0;      // how many would fit into the room that tasks already waiting there need
-  double capacity = 0;     // how many fit when the partition is empty
-  bool has_image = false;  // some machine of the partition holds the job's image
+  bool allowed = true;     // the partition is in a zone that the job allows
+  double free = 0;         // tasks that fit now
+  double backlog = 0;      // the resource need of waiting tasks
+  double capacity = 0;     // tasks that fit when the partition is empty
+  bool has_image = false;  // at least one machine has the job's image
 };
 
-/// The ranges of the job's tasks, sorted, without gaps: each task belongs to exactly one partition. A gang or
-/// a job for one zone goes to one partition as a whole. `partitions` must not be empty; if none of them is
-/// allowed, all count, so that the job waits somewhere.
+/// Returns the ranges of the job's tasks, sorted and without gaps: each task belongs to exactly one
+/// partition. A gang or a single-zone job is assigned to one partition as a whole. `partitions` must not be
+/// empty. If none of them is allowed, all are considered, so that the job is queued in some partition.
 std::vector<jobs::Range> distribute(const jobs::JobSpec& spec,
                                     const std::vector<PartitionCapacity>& partitions);
 
--- a/src/sched/place.cpp
+++ b/src/sched/place.cpp
@@ -9,31 +9,31 @@
 namespace finchrun::sched {
 namespace {
 
-// The terms of `start_cost`, in seconds of waiting and their like: what counts is which of two machines is
-// cheaper, not the amounts.
-constexpr double kFetchOverheadS = 2;       // of any fetch, however small the image is
-constexpr double kOrdinaryMachineCost = 3;  // ordinary machines are kept for those that may not use spot ones
-constexpr double kScarcityCost = 10;        // for a machine of which another job class needs all places
-constexpr double kMostScarcity = 3;         // more than this makes no difference
-constexpr double kDominantShareCost = 1.5;  // per accelerator that is made unusable for others
-constexpr double kUnusedGpusCost = 4;       // for a machine that stays all free
-constexpr double kUnusedCpusCost = 2;       // the same; accelerators are what is short
-constexpr double kReplicaFetchWeight = 10;  // a replica is expected within seconds
-constexpr double kReplicaTogetherCost = 50;  // for a second replica on one machine
-
-// A machine that states no rate must not cost infinitely much.
-constexpr double kLeastFetchGbPerS = 0.01;
-
-// Estimates of run times are often wrong by half.
+// Terms of `start_cost`, in seconds of waiting time or an equivalent penalty. Only the order of the machines'
+// costs matters, not their values.
+constexpr double kFetchOverheadS = 2;       // added to any fetch, regardless of the image size
+constexpr double kOnDemandMachineCost = 3;  // if the job may use spot instances instead
+constexpr double kScarcityCost = 10;        // if another job class needs all of its capacity on such machines
+constexpr double kMaxScarcity = 3;          // caps the sum over job classes
+constexpr double kDominantShareCost = 1.5;  // per accelerator made unusable for others
+constexpr double kUnusedGpusCost = 4;       // if all accelerators would stay unused
+constexpr double kUnusedCpusCost = 2;       // less than for accelerators, which are scarcer
+constexpr double kReplicaFetchWeight = 10;  // replicas should start within seconds
+constexpr double kColocatedReplicaCost = 50;  // for a second replica of a service on one machine
+
+// Avoids an infinite cost for a machine type without a fetch rate.
+constexpr double kMinFetchGbPerS = 0.01;
+
+// Run times often exceed their estimates by half.
 constexpr double kRunTimeMargin = 1.5;
 
-double fetch_alone_s(const Demand& demand, const Node& node) {
-  return demand.image_gb / std::max(node.fetch_gb_per_s, kLeastFetchGbPerS);
+double uncontended_fetch_s(const Demand& demand, const Node& node) {
+  return demand.image_gb / std::max(node.fetch_gb_per_s, kMinFetchGbPerS);
 }
 
-// With what any fetch takes before its first byte.
+// Includes the time before the first byte arrives.
 double fetch_with_overhead_s(const Demand& demand, const Node& node) {
-  return holds(node, demand.image) ? 0 : kFetchOverheadS + fetch_alone_s(demand, node);
+  return has_or_fetches_image(node, demand.image) ? 0 : kFetchOverheadS + uncontended_fetch_s(demand, node);
 }
 
 double dominant_share(const core::Resources& need, const core::Resources& size) {
@@ -46,70 +46,71 @@
 
 bool can_host(const Node& node, const JobClassProfile& job_class) {
   if (node.spot && !job_class.spot) return false;
-  return jobs::type_allowed(job_class.types, node.type) && job_class.need.fits(node.size);
+  return jobs::type_allowed(job_class.allowed_types, node.type) && job_class.need.fits(node.size);
 }
 
-// Beside what any task costs: a replica is small and is expected within seconds, so the fetch outweighs the
-// room it takes; and one machine that is lost should not take several replicas of a job along.
+// Replicas are small and should start within seconds, so the fetch time outweighs the resources. Several
+// replicas of a service on one machine would fail together.
 double replica_cost(const Demand& demand, const Node& node) {
   double cost = 0;
-  if (!holds(node, demand.image))
-    cost += kReplicaFetchWeight * fetch_alone_s(demand, node) * static_cast<double>(1 + node.fetching);
+  if (!has_or_fetches_image(node, demand.image))
+    cost += kReplicaFetchWeight * uncontended_fetch_s(demand, node) *
+            static_cast<double>(1 + node.fetches_in_progress);
   if (std::find(node.replicas.begin(), node.replicas.end(), demand.job) != node.replicas.end())
-    cost += kReplicaTogetherCost;
+    cost += kColocatedReplicaCost;
   return cost;
 }
 
-// How much job classes other than the demand's own would miss the machine.
+// Excludes the demand's own job class.
 double scarcity_for_others(const Demand& demand, const Node& node) {
   double scarcity = 0;
   for (std::size_t job_class = 0; job_class < node.scarcity.size(); ++job_class)
     if (job_class != demand.job_class.index) scarcity += node.scarcity[job_class];
-  return std::min(scarcity, kMostScarcity);
+  return std::min(scarcity, kMaxScarcity);
 }
 
-// What starting a task here costs, in seconds and their like: the fetch, the machine's risk, and the scarce
-// room used up. Lower is better.
+// Returns the expected start delay plus penalties for the use of scarce resources.
 double start_cost(const Demand& demand, const Node& node) {
-  double cost = node.risk_s;
-  if (demand.standing) cost += replica_cost(demand, node);
+  double cost = node.start_delay_s;
+  if (demand.is_service) cost += replica_cost(demand, node);
   cost += fetch_with_overhead_s(demand, node);
-  if (demand.spot && !node.spot) cost += kOrdinaryMachineCost;
-  // Machines that other job classes can't do without are left to them.
+  // Leaves on-demand machines to jobs that may not use spot instances.
+  if (demand.spot && !node.spot) cost += kOnDemandMachineCost;
+  // Leaves machines to job classes that can run on no others.
   cost += kScarcityCost * scarcity_for_others(demand, node);
-  // The share of the machine that it makes unusable for others, in units of accelerators.
+  // The share of the machine that becomes unusable for others, in accelerators.
   cost += kDominantShareCost * dominant_share(demand.need, node.size) * std::max(1.0, node.size.gpus);
-  // Best fit: leave large holes whole.
-  core::Resources left = node.free;
-  left -= demand.need;
-  if (node.size.gpus > 0) cost += kUnusedGpusCost * left.gpus / node.size.gpus;
-  if (node.size.cpus > 0) cost += kUnusedCpusCost * left.cpus / node.size.cpus;
+  // Best fit keeps large free blocks intact.
+  core::Resources free_after = node.free;
+  free_after -= demand.need;
+  if (node.size.gpus > 0) cost += kUnusedGpusCost * free_after.gpus / node.size.gpus;
+  if (node.size.cpus > 0) cost += kUnusedCpusCost * free_after.cpus / node.size.cpus;
   return cost;
 }
 
-// The machines that can take the demand's tasks, cheapest first; of two that cost the same the earlier one.
-// Taking a machine changes the cost of that machine only, so a job's tasks cost one look at all machines and
-// then a step each.
+// A heap of the machines that can run the demand's tasks, ordered by cost, then index. An allocation changes
+// the cost of its machine only, so a job needs one pass over all machines and one heap operation per task.
 class CheapestNodes {
  public:
   CheapestNodes(std::vector<Node>& nodes, const Demand& demand) : nodes_(nodes), demand_(demand) {
     for (std::size_t i = 0; i < nodes.size(); ++i)
-      if (demand.need.fits(nodes[i].free) && allowed(demand, nodes[i]) && open_to(demand, nodes[i]))
+      if (demand.need.fits(nodes[i].free) && is_allowed_on(demand, nodes[i]) &&
+          respects_reservation(demand, nodes[i]))
         heap_.emplace_back(start_cost(demand, nodes[i]), i);
     std::make_heap(heap_.begin(), heap_.end(), std::greater<>());
   }
-  // Takes room for one task on the cheapest machine: its index; nothing if there is none.
-  std::optional<std::size_t> take() {
+  // Allocates one task on the cheapest machine and returns its index, or nullopt if none has room.
+  std::optional<std::size_t> allocate() {
     if (heap_.empty()) return std::nullopt;
     std::pop_heap(heap_.begin(), heap_.end(), std::greater<>());
     const auto index = heap_.back().second;
     heap_.pop_back();
     Node& node = nodes_[index];
     node.free -= demand_.need;
-    if (demand_.standing) node.replicas.push_back(demand_.job);
-    if (!holds(node, demand_.image)) {
+    if (demand_.is_service) node.replicas.push_back(demand_.job);
+    if (!has_or_fetches_image(node, demand_.image)) {
       node.images.push_back(demand_.image);
-      ++node.fetching;
+      ++node.fetches_in_progress;
       fetching_.push_back(index);
     }
     if (demand_.need.fits(node.free)) {
@@ -118,23 +119,23 @@
     }
     return index;
   }
-  // Gives back what was taken: a gang that does not fit as a whole starts nothing.
-  void undo(const std::vector<std::size_t>& taken) {
-    for (const auto index : taken) nodes_[index].free += demand_.need;
+  // Releases the allocations of a gang that does not fit as a whole.
+  void undo(const std::vector<std::size_t>& allocated) {
+    for (const auto index : allocated) nodes_[index].free += demand_.need;
     for (const auto index : fetching_) {
       nodes_[index].images.pop_back();
-      --nodes_[index].fetching;
+      --nodes_[index].fetches_in_progress;
     }
   }
 
  private:
   std::vector<Node>& nodes_;
   const Demand& demand_;
-  std::vector<std::pair<double, std::size_t>> heap_;  // cost, index of the machine
-  std::vector<std::size_t> fetching_;                 // machines that we made fetch the image
+  std::vector<std::pair<double, std::size_t>> heap_;  // cost and node index
+  std::vector<std::size_t> fetching_;                 // nodes that fetch the image for this demand
 };
 
-// Indices of the demands in the order of placing.
+// Returns the demands' indices in the order of placing.
 std::vector<std::size_t> placing_order(const std::vector<Demand>& demands, const std::vector<Costs>& costs) {
   std::vector<std::size_t> order(demands.size());
   std::iota(order.begin(), order.end(), 0);
@@ -145,37 +146,37 @@
   return order;
 }
 
-// Places all tasks of a gang, or none. True if it was placed.
+// Places all tasks of a gang or none. Returns true if it was placed.
 bool place_gang(std::size_t index, const Demand& demand, std::vector<Node>& nodes, TeamQuota& quota,
                 std::vector<Placement>& placements) {
-  const auto need_of_all = demand.need_at_once();
-  if (demand.tasks.size() > demand.room_in_zone || !quota.allows(need_of_all)) return false;
+  const auto need_of_all = demand.need_to_start();
+  if (demand.tasks.size() > demand.zone_headroom || !quota.allows(need_of_all)) return false;
   CheapestNodes cheapest(nodes, demand);
-  std::vector<std::size_t> taken;
-  while (taken.size() < demand.tasks.size()) {
-    const auto node = cheapest.take();
+  std::vector<std::size_t> allocated;
+  while (allocated.size() < demand.tasks.size()) {
+    const auto node = cheapest.allocate();
     if (!node) {
-      cheapest.undo(taken);
+      cheapest.undo(allocated);
       return false;
     }
-    taken.push_back(*node);
+    allocated.push_back(*node);
   }
-  for (std::size_t i = 0; i < taken.size(); ++i)
-    placements.push_back({index, demand.tasks[i], nodes[taken[i]].id});
+  for (std::size_t i = 0; i < allocated.size(); ++i)
+    placements.push_back({index, demand.tasks[i], nodes[allocated[i]].id});
   quota.used += need_of_all;
   return true;
 }
 
-// Places as many tasks as fit. True if none is left waiting.
+// Places as many tasks as fit. Returns true if no task is left waiting.
 bool place_tasks(std::size_t index, const Demand& demand, std::vector<Node>& nodes, TeamQuota& quota,
                  std::vector<Placement>& placements) {
   std::uint32_t placed = 0;
-  // A team at its limit costs no look at the machines.
+  // Avoids the pass over all machines for a team at its limit.
   if (quota.allows(demand.need)) {
     CheapestNodes cheapest(nodes, demand);
     for (const auto task : demand.tasks) {
-      if (placed >= demand.room_in_zone || !quota.allows(demand.need)) break;
-      const auto node = cheapest.take();
+      if (placed >= demand.zone_headroom || !quota.allows(demand.need)) break;
+      const auto node = cheapest.allocate();
       if (!node) break;
       quota.used += demand.need;
       placements.push_back({index, task, nodes[*node].id});
@@ -188,44 +189,44 @@
 }  // namespace
 
 int precedence(const Demand& demand) {
-  // Above this a priority's claim goes before the ranking; idle work takes part in the ranking like any
-  // other. See "changed or added" in docs/design.md.
-  constexpr int kOrdinary = 1;
-  return demand.deferrable ? 0 : std::max(demand.priority, kOrdinary);
+  // Higher priorities are placed before the ranking applies; idle jobs are ranked like normal ones. See
+  // "changed or added" in docs/design.md.
+  constexpr int kMaxRankedPriority = 1;
+  return demand.deferrable ? 0 : std::max(demand.priority, kMaxRankedPriority);
 }
 
-void mark_scarcity(std::vector<Node>& nodes, const std::vector<JobClassProfile>& job_classes) {
+void compute_scarcity(std::vector<Node>& nodes, const std::vector<JobClassProfile>& job_classes) {
   for (auto& node : nodes) node.scarcity.assign(job_classes.size(), 0.0);
   for (std::size_t i = 0; i < job_classes.size(); ++i) {
     const auto& job_class = job_classes[i];
-    if (job_class.tasks <= 0) continue;
+    if (job_class.active_tasks <= 0) continue;
     double places = 0;
     for (const auto& node : nodes)
       if (can_host(node, job_class)) places += job_class.need.times_in(node.size);
     if (places <= 0) continue;
     for (auto& node : nodes)
-      if (can_host(node, job_class)) node.scarcity[i] = job_class.tasks / places;
+      if (can_host(node, job_class)) node.scarcity[i] = job_class.active_tasks / places;
   }
 }
 
-bool holds(const Node& node, core::ImageId image) {
+bool has_or_fetches_image(const Node& node, core::ImageId image) {
   return std::find(node.images.begin(), node.images.end(), image) != node.images.end();
 }
 
 double fetch_s(const Demand& demand, const Node& node) {
-  return holds(node, demand.image) ? 0 : fetch_alone_s(demand, node);
+  return has_or_fetches_image(node, demand.image) ? 0 : uncontended_fetch_s(demand, node);
 }
 
-bool open_to(const Demand& demand, const Node& node) {
+bool respects_reservation(const Demand& demand, const Node& node) {
   if (!node.reserved_for.valid() || node.reserved_for == demand.job) return true;
-  return !demand.gang &&
-         fetch_with_overhead_s(demand, node) + demand.expected_run_s * kRunTimeMargin < node.reserved_in_s;
+  return !demand.gang && fetch_with_overhead_s(demand, node) + demand.expected_run_s * kRunTimeMargin <
+                             node.reservation_starts_in_s;
 }
 
-bool allowed(const Demand& demand, const Node& node) {
+bool is_allowed_on(const Demand& demand, const Node& node) {
   if (node.spot && !demand.spot) return false;
   if (demand.zone && *demand.zone != node.zone) return false;
-  return jobs::type_allowed(demand.types, node.type);
+  return jobs::type_allowed(demand.allowed_types, node.type);
 }
 
 Plan place(std::vector<Node> nodes, const std::vector<Demand>& demands, const std::vector<Costs>& costs,
@@ -239,7 +240,7 @@
     if (!complete) plan.unplaced.push_back(index);
   }
   plan.nodes = std::move(nodes);
-  plan.teams = std::move(quotas);
+  plan.team_quotas = std::move(quotas);
   return plan;
 }
 
--- a/src/sched/place.hpp
+++ b/src/sched/place.hpp
@@ -1,5 +1,5 @@
-/// Greedy placement (bin packing) within one partition: the highest precedence and weight first; a gang only
-/// when all of its tasks fit. Pure: everything here works on a snapshot.
+/// Greedy placement (bin packing) within one partition, in the order of precedence and weight. A gang is
+/// placed only if all of its tasks fit. Functions work on a snapshot and have no side effects.
 #pragma once
 
 #include <cstdint>
@@ -12,64 +12,64 @@
 
 namespace finchrun::sched {
 
-/// A machine as a round sees it.
+/// The snapshot of a machine in a scheduling round.
 struct Node {
   core::MachineId id;
   core::MachineTypeId type;
   core::ZoneId zone;
   bool spot = false;
-  core::Resources size;               // of the whole machine
-  core::Resources free;               // size less what may run on it
-  std::vector<core::ImageId> images;  // cached, or being fetched
-  std::size_t fetching = 0;           // images that are being fetched now: they share the rate
-  std::vector<core::JobId> replicas;  // services with a replica here
+  core::Resources size;                 // total resources
+  core::Resources free;                 // size minus all tasks that may run on it
+  std::vector<core::ImageId> images;    // cached or being fetched
+  std::size_t fetches_in_progress = 0;  // image fetches that share the bandwidth
+  std::vector<core::JobId> replicas;    // services with a replica on this machine
   double fetch_gb_per_s = 1;
-  std::vector<double> scarcity;  // by job class: its tasks over the places for them, see `mark_scarcity`
-  core::JobId reserved_for;      // reservation of this job: others only while they end in time
-  double reserved_in_s = 0;      // how long it will be until that job can start here
-  double risk_s = 0;             // how much longer a task is expected to take to start here than elsewhere
+  std::vector<double> scarcity;        // by job class, see `compute_scarcity`
+  core::JobId reserved_for;            // the job with a reservation; other tasks must end before it starts
+  double reservation_starts_in_s = 0;  // until that job is expected to start
+  double start_delay_s = 0;            // expected additional start time on this machine
 };
 
-/// The waiting tasks of one job in one partition. They are all alike.
+/// The waiting tasks of one job in one partition. All have the same requirements.
 struct Demand {
   core::JobId job;
-  std::uint64_t job_revision = 0;  // of the record that it was made from
+  std::uint64_t job_revision = 0;  // of the job record
   core::TeamId team;
   core::ImageId image;
   double image_gb = 0;
-  core::Resources need;  // of one task
+  core::Resources need;  // per task
   int priority = 0;      // a `jobs::Priority`
   bool gang = false;
-  bool standing = false;                                  // replicas of a service, without an end in sight
-  bool spot = false;                                      // may use spot machines
-  std::optional<std::vector<core::MachineTypeId>> types;  // nothing: any
-  std::optional<core::ZoneId> zone;                       // nothing: any
-  std::uint32_t count = 0;                                // waiting tasks in all
-  std::vector<std::uint32_t> tasks;                       // the first of them; for a gang all
-  std::uint32_t room_in_zone = 0;                         // how many more tasks this zone may take (`spread`)
-  double waited_s = 0;                                    // since the job was submitted
-  double expected_run_s = 0;                              // the user's estimate of a task's run time
+  bool is_service = false;  // service replicas, which run without an end
+  bool spot = false;        // may use spot machines
+  std::optional<std::vector<core::MachineTypeId>> allowed_types;  // nullopt: any
+  std::optional<core::ZoneId> zone;                               // nullopt: any
+  std::uint32_t count = 0;                                        // number of waiting tasks
+  std::vector<std::uint32_t> tasks;  // the first waiting tasks; all tasks of a gang
+  std::uint32_t zone_headroom = 0;   // additional tasks that the zone may run (`spread`)
+  double waited_s = 0;               // since submission
+  double expected_run_s = 0;         // the user's estimate for one task
   core::JobClassId job_class;
-  bool within = false;           // fits its team's guarantee together with the team's earlier unfinished jobs
-  bool guaranteed = false;       // `within`, and has waited for longer than room needs to come free by itself
-  bool deferrable = false;       // only its deadline counts, and that is still far
-  bool has_reservation = false;  // room is being made or kept for it already
+  bool within_guarantee = false;     // fits in its team's guarantee with the team's earlier unfinished jobs
+  bool may_claim_guarantee = false;  // is within the guarantee and has waited longer than the grace period
+  bool deferrable = false;           // has a deadline that is still far away
+  bool has_reservation = false;      // machines are already reserved or being freed for it
 
-  /// What has to be free at the same time for it to start: one task; of a gang all.
-  [[nodiscard]] core::Resources need_at_once() const {
+  /// Resources that must be free at once to start: those of one task, or of all tasks of a gang.
+  [[nodiscard]] core::Resources need_to_start() const {
     return gang ? need * static_cast<double>(tasks.size()) : need;
   }
 };
 
-/// What jobs of a job class look like lately, and how many of their tasks run or wait.
+/// The typical requirements of a job class's recent jobs and its number of running or waiting tasks.
 struct JobClassProfile {
   core::Resources need;
   bool spot = false;
-  std::optional<std::vector<core::MachineTypeId>> types;
-  double tasks = 0;
+  std::optional<std::vector<core::MachineTypeId>> allowed_types;
+  double active_tasks = 0;  // running or waiting
 };
 
-/// What a team uses, and how much it may use at most (rule `quota`).
+/// The resource usage and limit of a team (rule `quota`).
 struct TeamQuota {
   core::Resources used;
   double cpus_max = 0, gpus_max = 0;  // 0: no limit
@@ -85,36 +85,37 @@
   core::MachineId machine;
 };
 
-/// What `place` decides.
+/// The result of `place`.
 struct Plan {
-  std::vector<Placement> placements;  // in the order of placing; those of one demand follow each other
-  std::vector<std::size_t> unplaced;  // demands with tasks left, in the order of placing
-  std::vector<Node> nodes;            // with what is free after placing
-  std::vector<TeamQuota> teams;       // with what is used after placing
+  std::vector<Placement> placements;   // in the order of placing; contiguous for each demand
+  std::vector<std::size_t> unplaced;   // demands with waiting tasks, in the order of placing
+  std::vector<Node> nodes;             // with free resources after placing
+  std::vector<TeamQuota> team_quotas;  // by team, with usage after placing
 };
 
-/// How much each job class, by its id, would miss a machine of the node's type and kind: its tasks over the
-/// places that the partition has for them. Filled into `Node::scarcity`.
-void mark_scarcity(std::vector<Node>& nodes, const std::vector<JobClassProfile>& job_classes);
+/// Fills in `Node::scarcity`: for each job class that can run on the node, the number of its tasks divided by
+/// the number of its tasks that fit in the partition.
+void compute_scarcity(std::vector<Node>& nodes, const std::vector<JobClassProfile>& job_classes);
 
-/// True if the node has the image, or is fetching it.
-bool holds(const Node& node, core::ImageId image);
+/// Returns true if the node has the image or is fetching it.
+bool has_or_fetches_image(const Node& node, core::ImageId image);
 
-/// How long the node takes to fetch the demand's image if it fetches nothing else; 0 if it holds it.
+/// Returns the time to fetch the demand's image without concurrent fetches; 0 if the node has or fetches it.
 double fetch_s(const Demand& demand, const Node& node);
 
-/// May the demand start on a machine where room is reserved? The reservation's job does; another only if it
-/// will be over in time.
-bool open_to(const Demand& demand, const Node& node);
+/// Returns true if the demand may start despite the node's reservation: it is the reserving job, or its tasks
+/// are expected to end before that job starts.
+bool respects_reservation(const Demand& demand, const Node& node);
 
-/// True if the machine is of a type, zone and kind that the job allows (rule `wrong_place`).
-bool allowed(const Demand& demand, const Node& node);
+/// Returns true if the job allows the machine's type and zone, and spot instances if it is one (rule
+/// `wrong_place`).
+bool is_allowed_on(const Demand& demand, const Node& node);
 
-/// What goes before the weight in the order of placing: a higher class is placed first whatever it costs.
+/// Returns the primary sort key of the placing order; the weight orders demands of equal precedence.
 int precedence(const Demand& demand);
 
-/// Places as many tasks as fit. `costs`: by demand; `quotas`: by team. Books no team beyond its quota and
-/// starts no gang in part.
+/// Places as many tasks as fit. `costs` is indexed by demand, `quotas` by team. No team exceeds its quota,
+/// and no gang is placed in part.
 Plan place(std::vector<Node> nodes, const std::vector<Demand>& demands, const std::vector<Costs>& costs,
            std::vector<TeamQuota> quotas);
 
--- a/src/sched/rank.cpp
+++ b/src/sched/rank.cpp
@@ -7,22 +7,22 @@
 namespace finchrun::sched {
 namespace {
 
-// A task that asks for no cores at all would cost infinitely much; and a weight needs a cost above 0.
-constexpr double kLeastCpus = 0.01;
-constexpr double kLeastCost = 1e-9;
+// Avoid division by zero for tasks without cores and for a total cost of 0.
+constexpr double kMinCpus = 0.01;
+constexpr double kMinCost = 1e-9;
 constexpr double kPercent = 100;
 
-// Sums and maxima over the whole queue, against which the paper scales each cost.
+// Sums and maxima over the whole queue, by which the costs are scaled.
 struct QueueTotals {
   double tasks = 0;
-  double cpus_max = kLeastCpus;
+  double cpus_max = kMinCpus;
   std::unordered_map<core::ImageId, double> tasks_of_image;
-  double tasks_of_image_max = 0;
-  double size_sum = 0;  // of all tasks' `raw_size`
+  double max_tasks_of_image = 0;
+  double size_sum = 0;  // sum of `unscaled_size` over all tasks
 };
 
-// Before scaling: how often a task's cores go into those of the largest task.
-double raw_size(double cpus, double cpus_max) { return cpus_max / std::max(cpus, kLeastCpus); }
+// Returns the cores of the largest task divided by the cores of this task.
+double unscaled_size(double cpus, double cpus_max) { return cpus_max / std::max(cpus, kMinCpus); }
 
 QueueTotals totals_of(const std::vector<QueuedTasks>& queue) {
   QueueTotals totals;
@@ -32,9 +32,9 @@
     totals.cpus_max = std::max(totals.cpus_max, entry.cpus);
   }
   for (const auto& [image, tasks] : totals.tasks_of_image)
-    totals.tasks_of_image_max = std::max(totals.tasks_of_image_max, tasks);
+    totals.max_tasks_of_image = std::max(totals.max_tasks_of_image, tasks);
   for (const auto& entry : queue)
-    totals.size_sum += entry.count * totals.cpus_max / std::max(entry.cpus, kLeastCpus);
+    totals.size_sum += entry.count * totals.cpus_max / std::max(entry.cpus, kMinCpus);
   return totals;
 }
 
@@ -46,14 +46,14 @@
   const double usage_sum = std::accumulate(usage.begin(), usage.end(), 0.0);
   std::vector<Costs> out;
   out.reserve(queue.size());
-  // Equations 4 to 8 of the paper.
+  // Equations 4 to 8 of the paper, see rank.hpp.
   for (const auto& entry : queue) {
     Costs costs;
-    costs.image = totals.tasks_of_image_max / totals.tasks_of_image.at(entry.image) * kPercent / totals.tasks;
-    costs.size = raw_size(entry.cpus, totals.cpus_max) * kPercent / totals.size_sum;
+    costs.image = totals.max_tasks_of_image / totals.tasks_of_image.at(entry.image) * kPercent / totals.tasks;
+    costs.size = unscaled_size(entry.cpus, totals.cpus_max) * kPercent / totals.size_sum;
     costs.usage = usage_sum > 0 ? usage.at(entry.team.index) / usage_sum * kPercent : 0;
     costs.total = factors.image * costs.image + factors.size * costs.size + factors.usage * costs.usage;
-    costs.weight = shares.at(entry.team.index) / std::max(costs.total, kLeastCost);
+    costs.weight = shares.at(entry.team.index) / std::max(costs.total, kMinCost);
     out.push_back(costs);
   }
   return out;
--- a/src/sched/rank.hpp
+++ b/src/sched/rank.hpp
@@ -1,7 +1,7 @@
-/// Weighted Fair-share Grouping: ranks waiting tasks by team shares over the three-part cost, after
-/// "Fair-share scheduling algorithm for a tertiary storage system" (P. Jakl, J. Lauret, M. Sumbera). The
-/// three costs, their sum and the weight are the paper's equations 4 to 8; its terms and ours stand side by
-/// side in docs/design.md.
+/// Weighted Fair-share Grouping: ranks waiting tasks by their team's shares divided by a cost of three terms,
+/// after "Fair-share scheduling algorithm for a tertiary storage system" (P. Jakl, J. Lauret, M. Sumbera).
+/// The costs, their sum and the weight are the paper's equations 4 to 8; docs/design.md maps the paper's
+/// terms to those used here.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +11,31 @@
 
 namespace finchrun::sched {
 
-/// How much each cost counts; they sum to 1.
+/// The weights of the three costs; they sum to 1.
 struct Factors {
-  double image = 0.3;  // the paper's tape factor: images stand for tapes
-  double size = 0.1;   // its file-size factor: requested cores stand for file sizes
-  double usage = 0.6;  // its usage factor: core-seconds stand for megabytes delivered
+  double image = 0.3;  // tape factor in the paper; images correspond to tapes
+  double size = 0.1;   // file-size factor; requested cores correspond to file sizes
+  double usage = 0.6;  // usage factor; core-seconds correspond to megabytes delivered
 };
 
-/// Waiting tasks of one job: alike in everything that the ranking looks at.
+/// Waiting tasks of one job. All have the same attributes for ranking.
 struct QueuedTasks {
   core::TeamId team;
   core::ImageId image;
-  double cpus = 0;  // of one task
+  double cpus = 0;  // per task
   std::uint32_t count = 1;
 };
 
-/// What ranking finds for the tasks of one job.
+/// The costs and the resulting weight of one job's tasks.
 struct Costs {
-  double image = 0;   // grouping cost, 0 to 100: low for an image that many waiting tasks need
-  double size = 0;    // size cost, 0 to 100: low for tasks of many cores
-  double usage = 0;   // usage cost, 0 to 100: low for a team that has used little lately
-  double total = 0;   // the three, each by its factor
-  double weight = 0;  // the team's shares over the total cost: the highest goes first
+  double image = 0;   // 0 to 100; low for an image that many waiting tasks need (grouping)
+  double size = 0;    // 0 to 100; low for tasks with many cores
+  double usage = 0;   // 0 to 100; low for a team with little recent usage
+  double total = 0;   // sum of the three, weighted by `Factors`
+  double weight = 0;  // the team's shares divided by the total cost; the highest is placed first
 };
 
-/// Costs by entry of the queue. `shares` and `usage` (decayed core-seconds) by team. An empty queue has none.
+/// Returns the costs of each queue entry. `shares` and `usage` (decayed core-seconds) are indexed by team.
 std::vector<Costs> rank(const std::vector<QueuedTasks>& queue, const std::vector<double>& shares,
                         const std::vector<double>& usage, const Factors& factors);
 
--- a/src/scheduling/backlog.hpp
+++ b/src/scheduling/backlog.hpp
@@ -1,4 +1,4 @@
-/// What a scheduling round could not place.
+/// The tasks that a scheduling round could not place.
 #pragma once
 
 #include <vector>
@@ -7,13 +7,13 @@
 
 namespace finchrun::scheduling {
 
-/// Tasks of one job that wait in one partition. Those that the round placed are no longer among them.
+/// The tasks of one job that still wait in one partition after the round's placements.
 struct BacklogItem {
   core::PartitionId partition;
   sched::Demand demand;
 };
 
-/// In the order of the round's ranking, partition by partition.
+/// Items by partition, in the order of the round's ranking.
 using Backlog = std::vector<BacklogItem>;
 
 }  // namespace finchrun::scheduling
--- a/src/scheduling/cluster_load.cpp
+++ b/src/scheduling/cluster_load.cpp
@@ -9,22 +9,22 @@
 using controller::ClusterLoad;
 using controller::ControllerState;
 
-constexpr double kMaxLoadAgeS = 0.5;  // every submission asks; nothing much changes in between
+constexpr double kMaxLoadAgeS = 0.5;  // avoids a recomputation for each submission
 
-// Leaves out machines that are certain to be useless, and of which nothing is certain yet.
+// Excludes machines that are known to be unusable and machines in an unknown state.
 bool counts_as_capacity(const ControllerState& state, const agent::Machine& machine, core::TimePoint now) {
   if (machine.quarantined || machine.gone || machine.terminating || machine.termination_notice_s)
     return false;
   if (!machine.partition.valid()) return false;
   if (state.leads(machine.partition)) return state.usable(machine, now);
-  // Its agent's heartbeats go to another leader: only the cloud's list tells of it.
+  // Its heartbeats go to another leader, so only the cloud provider's list shows its state.
   return machine.listed && machine.status == "running";
 }
 
 void add_waiting_tasks(ClusterLoad& load, const ControllerState& state) {
   for (const auto id : state.cache.live()) {
     const WaitingTasks tasks(state.cache, id);
-    if (!tasks.any()) continue;
+    if (!tasks.has_waiting()) continue;
     const auto& need = state.cache.job(id)->spec.need;
     for (std::uint32_t p = 0; p < load.waiting.size(); ++p)
       load.waiting[p] += need * static_cast<double>(tasks.count(core::PartitionId{p}));
@@ -55,8 +55,8 @@
   return load;
 }
 
-// How many tasks of such need the waiting ones would take the place of.
-double tasks_in_place_of(const core::Resources& waiting, const core::Resources& need) {
+// Converts `waiting` to a number of tasks with `need`, by the resource that gives the highest number.
+double equivalent_tasks(const core::Resources& waiting, const core::Resources& need) {
   double tasks = 0;
   if (need.gpus > 0) tasks = std::max(tasks, waiting.gpus / need.gpus);
   if (need.cpus > 0) tasks = std::max(tasks, waiting.cpus / need.cpus);
@@ -74,7 +74,7 @@
     capacity.partition = core::PartitionId{p};
     capacity.zone = state.partitions.zone(capacity.partition);
     capacity.allowed = !spec.zone || *spec.zone == capacity.zone;
-    capacity.backlog = tasks_in_place_of(load.waiting[p], spec.need);
+    capacity.backlog = equivalent_tasks(load.waiting[p], spec.need);
     capacity.has_image = load.images[p].contains(spec.image);
   }
   for (const auto& machine : load.machines) {
--- a/src/scheduling/cluster_load.hpp
+++ b/src/scheduling/cluster_load.hpp
@@ -1,4 +1,4 @@
-// What waits and what is free in each partition, for distributing and rebalancing jobs.
+// Waiting work and free capacity of each partition, for the distribution and rebalancing of jobs.
 #pragma once
 
 #include <vector>
@@ -8,9 +8,9 @@
 
 namespace finchrun::scheduling {
 
-/// What each partition offers to a job of this kind, in order of partition. An estimate, of partitions of
-/// other leaders above all: nothing is placed by it. Half a second old at most: it rests on `state.load`,
-/// which is renewed here.
+/// Returns the capacity of each partition for the job, by partition index. It is an estimate, especially for
+/// partitions with other leaders, and not used for placement. It is computed from `state.cluster_load`, which
+/// this function refreshes every half second.
 std::vector<sched::PartitionCapacity> partition_capacities(controller::ControllerState& state,
                                                            const jobs::JobSpec& spec, core::TimePoint now);
 
--- a/src/scheduling/partition_writer.hpp
+++ b/src/scheduling/partition_writer.hpp
@@ -1,5 +1,5 @@
-/// The one coroutine that writes for the partitions that this controller leads, so that its writes never race
-/// each other: scheduling rounds, observed exits, rebalancing, usage.
+/// The only coroutine that writes records of the partitions that this controller leads: scheduling rounds,
+/// task exits, rebalancing and usage. A single writer avoids conflicts between its own transactions.
 #pragma once
 
 #include "assignments/exit_recorder.hpp"
@@ -14,11 +14,11 @@
 
 namespace asio = boost::asio;
 
-/// This controller's part of the writes that all controllers may make together. `leaders`: controllers that
-/// lead some partition; `controllers`: of the deployment; `leads`: this one is among the leaders.
-double share_of_writes(std::size_t leaders, int controllers, bool leads);
+/// Returns this controller's share of the write budget of all controllers. `leaders`: controllers that
+/// lead a partition; `controllers`: all in the deployment; `is_leader`: this one leads a partition.
+double write_share(std::size_t leaders, int controllers, bool is_leader);
 
-/// Decides when each of its components writes; what they write is theirs.
+/// Schedules the writes of its components, which decide what to write.
 class PartitionWriter {
  public:
   PartitionWriter(controller::Runtime& runtime, controller::SharedState& state, state::KeyValueStore& store,
@@ -38,11 +38,11 @@
   asio::awaitable<void> run();
 
  private:
-  /// Is a round due? One comes early when a job has arrived or room has been freed (`cache_version` has
-  /// moved).
-  [[nodiscard]] bool round_due(core::TimePoint now, std::uint64_t cache_version) const;
+  /// Returns true if the round interval has passed, or earlier after a change of the state cache (a new job
+  /// or freed resources).
+  [[nodiscard]] bool is_round_due(core::TimePoint now, std::uint64_t cache_version) const;
   asio::awaitable<void> run_round(core::TimePoint now, std::uint64_t cache_version);
-  void share_write_budget();
+  void update_write_share();
 
   controller::Runtime& runtime_;
   controller::SharedState& state_;
@@ -54,7 +54,7 @@
   UsageRecorder& usage_;
   const config::Tuning& tuning_;
   core::TimePoint next_round_{}, last_round_{};
-  std::uint64_t round_version_ = 0;  // of the state cache when the newest round began
+  std::uint64_t round_cache_version_ = 0;  // cache version at the start of the last round
 };
 
 }  // namespace finchrun::scheduling
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -11,46 +11,47 @@
 
 using controller::ControllerState;
 
-// What stopping a replica costs is the gap until another one runs, not the time that it has run.
-constexpr double kReplicaGapS = 30;
-// A start that is stopped sooner than this was none, to its user: it costs so much more.
-constexpr double kYoungTaskS = 30;
-constexpr double kYoungTaskCostS = 20;
-// What a task that saves its progress loses beside the time to save it.
+// Stopping a replica costs the gap until its successor runs, not its run time so far.
+constexpr double kReplicaRestartGapS = 30;
+// Stopping a task younger than this costs extra, since its user has hardly gained from the start.
+constexpr double kYoungTaskMaxAgeS = 30;
+constexpr double kYoungTaskExtraCostS = 20;
+// The cost of restarting from a checkpoint, in addition to the time to save it.
 constexpr double kRestartCostS = 5;
-// A task that runs for longer than expected goes on for at least this much.
-constexpr double kLeastRemainingFraction = 0.1;
-constexpr double kLeastRemainingS = 1;
+// The minimum remaining run time of a task that has run longer than estimated.
+constexpr double kMinRemainingFraction = 0.1;
+constexpr double kMinRemainingS = 1;
 
-// Until a stop has reached its machine and its end is known here: a heartbeat each, and some slack.
+// The time for a stop command to reach its machine and for the exit to be reported: one heartbeat each, and
+// some slack.
 constexpr double kHeartbeatsForStop = 2;
 constexpr double kStopSlackS = 4;
 
-// A gang's reservation lasts for this many times what it was expected to take, and then some; but estimates
-// are often wrong: after a while the gang looks for other machines.
+// A gang's reservation lasts for its expected waiting time with a margin, up to a maximum. If the estimate
+// was wrong, it expires and the gang can get other machines.
 constexpr double kReservationMargin = 1.5;
 constexpr double kReservationSlackS = 5;
-constexpr double kLongestReservationS = 60;
+constexpr double kMaxReservationS = 60;
 
-// At most this part of a partition's machines is reserved for gangs at a time.
+// At most one machine in this many is reserved for gangs in a partition.
 constexpr std::size_t kReservableMachinesDivisor = 4;
 
 void reserve_machine(ControllerState& state, core::MachineId id, core::JobId job, double ready_in_s,
-                     double lasts_s, core::TimePoint now) {
+                     double duration_s, core::TimePoint now) {
   auto* machine = state.fleet.find(id);
   if (!machine) return;
   machine->reserved_for = job;
   machine->reserved_ready = now + core::secs(ready_in_s);
-  machine->reserved_until = now + core::secs(lasts_s);
+  machine->reserved_until = now + core::secs(duration_s);
 }
 
-// How long the task has run as far as heartbeats have shown; 0: none has shown it yet.
+// Returns the run time since a heartbeat first reported the task, or 0 if none has.
 double ran_s(const ControllerState& state, const agent::TaskAttempt& attempt, core::TimePoint now) {
   const auto confirmed = state.fleet.confirmed_starts.find(attempt);
   return confirmed == state.fleet.confirmed_starts.end() ? 0 : core::since(confirmed->second, now);
 }
 
-// Nothing if it can't be preempted: its job is over, it is being stopped, or it is known to have ended.
+// Returns nullopt if the task cannot be preempted: its job is over, or it is being stopped or has ended.
 std::optional<sched::RunningTask> running_task(const ControllerState& state, core::MachineId machine,
                                                const state::MachineAssignment& on_machine,
                                                const std::set<core::JobId>& within_guarantee,
@@ -71,14 +72,13 @@
   task.need = job->spec.need;
   task.priority = static_cast<int>(job->spec.priority);
   task.gang = job->spec.gang();
-  task.within = within_guarantee.contains(id);
+  task.within_guarantee = within_guarantee.contains(id);
   task.stop_cost_s = stop_cost_s(job->spec, ran);
   task.remaining_s = remaining_s(job->spec, ran);
   return task;
 }
 
-// What a round has just placed runs there too: without it a machine that is being filled seems never to come
-// free.
+// Adds the tasks that the round has placed. Otherwise their resources would never appear to become free.
 void append_placed(const sched::Plan& plan, const std::vector<sched::Demand>& demands,
                    std::vector<sched::RunningTask>& running) {
   for (const auto& placement : plan.placements) {
@@ -92,9 +92,10 @@
   }
 }
 
-// The plan's nodes, those reserved where preemption has just made room.
-std::vector<sched::Node> nodes_after(const std::vector<sched::Preemption>& preemptions,
-                                     const sched::Plan& plan, const std::vector<sched::Demand>& demands) {
+// Adds reservations for the demands that preemption makes room for.
+std::vector<sched::Node> nodes_with_reservations(const std::vector<sched::Preemption>& preemptions,
+                                                 const sched::Plan& plan,
+                                                 const std::vector<sched::Demand>& demands) {
   std::map<core::MachineId, core::JobId> reserved;
   for (const auto& preemption : preemptions)
     for (const auto machine : preemption.machines) reserved[machine] = demands[preemption.demand].job;
@@ -112,7 +113,7 @@
                  state.names.machines.name(assignment.machine), grace_s);
 }
 
-// Evicts what must leave the machine now, but gangs, which it notes in `gangs`.
+// Evicts the tasks that must leave the machine now. Adds gangs to `gangs` instead of evicting their tasks.
 void evict_from(ControllerState& state, core::MachineId machine, double termination_notice_s,
                 std::set<core::JobId>& gangs) {
   for (const auto& placed : state.cache.on_machine(machine)) {
@@ -130,15 +131,14 @@
 }  // namespace
 
 double stop_cost_s(const jobs::JobSpec& spec, double ran_s) {
-  const double lost_s = spec.standing()         ? kReplicaGapS
+  const double lost_s = spec.standing()         ? kReplicaRestartGapS
                         : spec.checkpoint_s > 0 ? spec.save_s + kRestartCostS
                                                 : ran_s;
-  return ran_s < kYoungTaskS ? lost_s + kYoungTaskCostS : lost_s;
+  return ran_s < kYoungTaskMaxAgeS ? lost_s + kYoungTaskExtraCostS : lost_s;
 }
 
 double remaining_s(const jobs::JobSpec& spec, double ran_s) {
-  return std::max(spec.expected_run_s - ran_s,
-                  kLeastRemainingFraction * spec.expected_run_s + kLeastRemainingS);
+  return std::max(spec.expected_run_s - ran_s, kMinRemainingFraction * spec.expected_run_s + kMinRemainingS);
 }
 
 bool must_evict(double termination_notice_s, const jobs::JobSpec& spec, double heartbeat_s) {
@@ -179,24 +179,27 @@
                           std::vector<sched::Demand>& demands, const RoundView& view, std::size_t machines,
                           core::TimePoint now) {
   if (plan.unplaced.empty()) return;
-  auto running = state_.with(
-      [&](ControllerState& state) { return running_tasks(state, partition, view.within_guarantee, now); });
+  auto running = state_.with([&](ControllerState& state) {
+    return running_tasks(state, partition, view.jobs_within_guarantee, now);
+  });
   const auto preemptions =
-      sched::preempt(plan.nodes, demands, plan.unplaced, running, plan.teams, view.guarantees);
+      sched::preempt(plan.nodes, demands, plan.unplaced, running, plan.team_quotas, view.guarantees);
   for (const auto& preemption : preemptions) {
-    start(preemption, demands[preemption.demand], running, now);
+    start_preemption(preemption, demands[preemption.demand], running, now);
     demands[preemption.demand].has_reservation = true;
   }
   append_placed(plan, demands, running);
   const auto max_machines = std::max<std::size_t>(1, machines / kReservableMachinesDivisor);
-  reserve(partition,
-          sched::reserve_for_gangs(nodes_after(preemptions, plan, demands), demands, plan.unplaced, running,
-                                   plan.teams, tuning_.gang_reservation_delay_s, max_machines),
-          demands, now);
+  start_reservations(
+      partition,
+      sched::reserve_for_gangs(nodes_with_reservations(preemptions, plan, demands), demands, plan.unplaced,
+                               running, plan.team_quotas, tuning_.gang_reservation_delay_s, max_machines),
+      demands, now);
 }
 
-void Preemptor::reserve(core::PartitionId partition, const std::vector<sched::Reservation>& reservations,
-                        std::vector<sched::Demand>& demands, core::TimePoint now) {
+void Preemptor::start_reservations(core::PartitionId partition,
+                                   const std::vector<sched::Reservation>& reservations,
+                                   std::vector<sched::Demand>& demands, core::TimePoint now) {
   state_.with([&](ControllerState& state) {
     for (const auto& reservation : reservations) {
       auto& demand = demands[reservation.demand];
@@ -204,23 +207,23 @@
       spdlog::info("gang reservation started job={} tasks={} machines={} partition={} ready_in_s={:.0f}",
                    state.names.jobs.name(demand.job), demand.tasks.size(), reservation.machines.size(),
                    state.names.partitions.name(partition), reservation.ready_in_s);
-      const double lasts_s = std::min(kLongestReservationS, reservation.ready_in_s * kReservationMargin +
-                                                                kHeartbeatsForStop * state.settings.report_s +
-                                                                kReservationSlackS);
+      const double duration_s =
+          std::min(kMaxReservationS, reservation.ready_in_s * kReservationMargin +
+                                         kHeartbeatsForStop * state.settings.report_s + kReservationSlackS);
       for (const auto machine : reservation.machines)
-        reserve_machine(state, machine, demand.job, reservation.ready_in_s, lasts_s, now);
+        reserve_machine(state, machine, demand.job, reservation.ready_in_s, duration_s, now);
     }
   });
 }
 
-void Preemptor::start(const sched::Preemption& preemption, const sched::Demand& demand,
-                      const std::vector<sched::RunningTask>& running, core::TimePoint now) {
+void Preemptor::start_preemption(const sched::Preemption& preemption, const sched::Demand& demand,
+                                 const std::vector<sched::RunningTask>& running, core::TimePoint now) {
   std::map<core::MachineId, std::vector<wire::Command>> stops;
   state_.with([&](ControllerState& state) {
     double longest_grace_s = 0;
     for (const auto index : preemption.victims) {
       const auto& victim = running[index];
-      // All of a gang must get it within gang_peer_s of each other, with time to save.
+      // All tasks of a gang must receive the stop within gang_peer_s of each other, with time to save.
       const double grace_s = state.cache.job(victim.job)->spec.stop_grace_s();
       longest_grace_s = std::max(longest_grace_s, grace_s);
       state.fleet.preempting[{victim.job, victim.task, victim.attempt}] = grace_s;
@@ -230,9 +233,9 @@
                    state.names.jobs.name(demand.job));
       stops[victim.machine].push_back({wire::Command::Kind::stop, job, victim.task, victim.attempt, grace_s});
     }
-    const double lasts_s = longest_grace_s + kHeartbeatsForStop * state.settings.report_s + kStopSlackS;
+    const double duration_s = longest_grace_s + kHeartbeatsForStop * state.settings.report_s + kStopSlackS;
     for (const auto machine : preemption.machines)
-      reserve_machine(state, machine, demand.job, longest_grace_s, lasts_s, now);
+      reserve_machine(state, machine, demand.job, longest_grace_s, duration_s, now);
   });
   for (auto& [machine, commands] : stops) runtime_.spawn(commands_.send(machine, std::move(commands), {}));
 }
--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -14,51 +14,51 @@
 using ledger::QuotaShares;
 using state::CommitStatus;
 
-constexpr std::size_t kMaxArrayTasksRequested = 16;  // as many as could start at once, not all that wait
+constexpr std::size_t kMaxArrayTasksRequested = 16;  // limits requests to what could start soon
 constexpr double kMinAmount = QuotaShares::kMinAmount;
-constexpr double kRequestGrowth = 1.25;     // a request is raised only by more than this factor
-constexpr double kWithdrawalIntervalS = 2;  // at least between two withdrawals of this controller
+constexpr double kRequestGrowth = 1.25;     // smaller increases of a request are not written
+constexpr double kWithdrawalIntervalS = 2;  // minimum interval between two withdrawals by this controller
 
 enum class RequestChange { none, raised, withdrawn };
 
-bool notable(const core::Resources& amount) {
+bool is_significant(const core::Resources& amount) {
   return amount.cpus > kMinAmount || amount.gpus > kMinAmount;
 }
 bool exceeds(const core::Resources& amount, const core::Resources& other, double factor) {
   return amount.cpus > other.cpus * factor + kMinAmount || amount.gpus > other.gpus * factor + kMinAmount;
 }
 
-// Adds what the unplaced demand lacks of its team's share, if the share is what it waits for.
-void add_lacking(core::Resources& lacking, const sched::TeamQuota& quota, const sched::Demand& demand) {
-  const auto need_at_once = demand.need_at_once();
-  if (quota.allows(need_at_once)) return;
+// Adds the demand's shortfall if the demand waits for its team's share rather than for machines.
+void add_shortfall(core::Resources& shortfall, const sched::TeamQuota& quota, const sched::Demand& demand) {
+  const auto need_to_start = demand.need_to_start();
+  if (quota.allows(need_to_start)) return;
   if (demand.gang) {
     auto total = quota.used;
-    total += need_at_once;
-    lacking.cpus = std::max(lacking.cpus, total.cpus - quota.cpus_max);
-    lacking.gpus = std::max(lacking.gpus, total.gpus - quota.gpus_max);
+    total += need_to_start;
+    shortfall.cpus = std::max(shortfall.cpus, total.cpus - quota.cpus_max);
+    shortfall.gpus = std::max(shortfall.gpus, total.gpus - quota.gpus_max);
   } else {
     const auto requested = static_cast<double>(std::min(demand.tasks.size(), kMaxArrayTasksRequested));
-    lacking.cpus += demand.need.cpus * requested;
-    lacking.gpus += demand.need.gpus * requested;
+    shortfall.cpus += demand.need.cpus * requested;
+    shortfall.gpus += demand.need.gpus * requested;
   }
 }
 
-// Raises or withdraws the partition's request, if that is worth a change of the record.
+// Raises or withdraws the partition's request if the change is large enough to write the record.
 RequestChange update_request(QuotaShares& shares, const QuotaShortage& shortage, bool may_withdraw) {
   const auto before = shares.requested(shortage.partition);
-  // What the team uses in all partitions together is near its limit: nobody has anything to grant.
-  auto more = shortage.lacking;
+  // Other partitions cannot grant more than the unused part of the team's limit.
+  auto more = shortage.shortfall;
   more.cpus = std::min(more.cpus, shares.limit().cpus - shortage.team_used.cpus);
   more.gpus = std::min(more.gpus, shares.limit().gpus - shortage.team_used.gpus);
-  if (notable(more)) {
+  if (is_significant(more)) {
     if (!exceeds(more, before, kRequestGrowth)) return RequestChange::none;
     shares.request(shortage.partition, more);
-    // The limit may leave less to ask for.
+    // `request` may have reduced the amount.
     const bool raised = exceeds(shares.requested(shortage.partition), before, 1);
     return raised ? RequestChange::raised : RequestChange::none;
   }
-  if (!notable(before) || !may_withdraw) return RequestChange::none;
+  if (!is_significant(before) || !may_withdraw) return RequestChange::none;
   shares.request(shortage.partition, {});
   return RequestChange::withdrawn;
 }
@@ -72,7 +72,7 @@
   return state::encode(record, state.names);
 }
 
-// Nothing if the team's record stays as it is.
+// Returns nullopt if the team's record does not change.
 std::optional<PlannedTransaction> plan_team(const ControllerState& state, core::TeamId team,
                                             const std::vector<QuotaShortage>& shortages,
                                             core::TimePoint& request_withdrawn_at, core::TimePoint now) {
@@ -108,11 +108,11 @@
                                            const std::vector<sched::Demand>& demands,
                                            const std::vector<core::Resources>& team_used) {
   std::vector<QuotaShortage> shortages;
-  for (std::uint32_t t = 0; t < plan.teams.size(); ++t)
-    shortages.push_back({partition, core::TeamId{t}, plan.teams[t].used, {}, team_used[t]});
+  for (std::uint32_t t = 0; t < plan.team_quotas.size(); ++t)
+    shortages.push_back({partition, core::TeamId{t}, plan.team_quotas[t].used, {}, team_used[t]});
   for (const auto i : plan.unplaced) {
     const auto team = demands[i].team.index;
-    add_lacking(shortages.at(team).lacking, plan.teams.at(team), demands[i]);
+    add_shortfall(shortages.at(team).shortfall, plan.team_quotas.at(team), demands[i]);
   }
   return shortages;
 }
@@ -136,18 +136,18 @@
   shortages_.insert(shortages_.end(), found.begin(), found.end());
 }
 
-asio::awaitable<void> QuotaSharing::share() {
+asio::awaitable<void> QuotaSharing::commit_changes() {
   const auto now = core::Steady::now();
   auto plan = state_.with([&](ControllerState& state) {
     return plan_quota_sharing(state, shortages_, request_withdrawn_at_, now);
   });
   request_withdrawn_at_ = plan.request_withdrawn_at;
-  // One transaction each: a conflict over one team must not hold up the others.
+  // Each team has its own transaction, so that a conflict on one record does not delay other teams.
   for (auto& planned : plan.transactions) {
     if (!store_.spend(1, state::KeyValueStore::For::records)) co_return;
     state::Transaction transaction{planned.compares, std::move(planned.writes)};
     const auto result = co_await follower_.commit(std::move(transaction));
-    // Applied late, it would take away a share that is in use by then.
+    // If the store applied the transaction late, it would take away a share that is in use by then.
     if (result.outcome == CommitStatus::unknown) recorder_.require_new_fences(planned.compares);
     if (result.outcome != CommitStatus::done) continue;
     for (const auto& line : planned.log) spdlog::info("{}", line);
--- a/src/scheduling/quota_sharing.hpp
+++ b/src/scheduling/quota_sharing.hpp
@@ -1,4 +1,4 @@
-// Shares of a team's quota move between partitions, from where they are not used to where they are missing.
+// Moves unused shares of team quotas to partitions that lack them.
 #pragma once
 
 #include <vector>
@@ -13,36 +13,36 @@
 
 namespace asio = boost::asio;
 
-/// What a team uses of its share in one of our partitions, and what its waiting tasks lack there.
+/// A team's usage of its share in a partition led by this controller, and the shortfall of its waiting tasks.
 struct QuotaShortage {
   core::PartitionId partition;
   core::TeamId team;
-  core::Resources used, lacking;
+  core::Resources used, shortfall;
   core::Resources team_used;  // in all partitions
 };
 
-/// What a scheduling round's plan for one partition says of each team, in order of team.
-/// `team_used`: by team, in all partitions.
+/// Returns the shortage of each team in one partition, from the plan of a scheduling round. `team_used` is
+/// the usage by team in all partitions.
 std::vector<QuotaShortage> quota_shortages(core::PartitionId partition, const sched::Plan& plan,
                                            const std::vector<sched::Demand>& demands,
                                            const std::vector<core::Resources>& team_used);
 
 struct QuotaSharingPlan {
-  /// One for each team whose record changes; with what to log once it is applied.
+  /// One transaction for each team whose record changes, with the lines to log after the commit.
   std::vector<assignments::PlannedTransaction> transactions;
-  core::TimePoint request_withdrawn_at;  // as given, or now if a request is withdrawn
+  core::TimePoint request_withdrawn_at;  // `now` if a request is withdrawn, otherwise unchanged
 };
 
-/// What this controller changes in the teams' records for the partitions that it leads: their requests for
-/// more, and what they grant to other partitions' requests.
+/// Plans the changes of the teams' records for the partitions that this controller leads: requests, and
+/// grants to other partitions.
 ///
-/// Rule `quota`: a team's shares always add up to its limit, so a grant moves what it takes. Only a
-/// partition's leader lowers the partition's share, to no less than it uses there; so each transaction
-/// compares the fencing tokens and fences of the partitions that it spoke for, and nothing is granted from a
-/// partition where a write without an answer may still be applied. Placements compare the team's record, so
-/// that they fail after a grant that they did not know of.
+/// Rule `quota`: a team's shares always add up to its limit, so a grant is a transfer. Only a partition's
+/// leader may lower its share, and not below the usage there. Each transaction therefore compares the fencing
+/// tokens and fences of all partitions that it decided for, and a partition grants nothing while a write with
+/// an unknown result may still be applied. Placements compare the team's record, so that they fail after a
+/// concurrent grant.
 ///
-/// `request_withdrawn_at`: when this controller last withdrew a request.
+/// `request_withdrawn_at` is the time of this controller's last withdrawal of a request.
 QuotaSharingPlan plan_quota_sharing(const controller::ControllerState& state,
                                     const std::vector<QuotaShortage>& shortages,
                                     core::TimePoint request_withdrawn_at, core::TimePoint now);
@@ -54,14 +54,13 @@
                coordination::StateFollower& follower, assignments::PlacementRecorder& recorder)
       : state_(state), store_(store), follower_(follower), recorder_(recorder) {}
 
-  /// Forgets what earlier rounds have found.
+  /// Discards the shortages of earlier rounds.
   void clear() { shortages_.clear(); }
-  /// Notes what each team uses of its share in the partition, and what its unplaced tasks lack.
-  /// `team_used`: by team, in all partitions.
+  /// Adds the shortages of each team in the partition. `team_used` is the usage by team in all partitions.
   void collect(core::PartitionId partition, const sched::Plan& plan,
                const std::vector<sched::Demand>& demands, const std::vector<core::Resources>& team_used);
-  /// Commits one change of each team's record at most, as far as the store's budget of writes goes.
-  asio::awaitable<void> share();
+  /// Commits at most one change of each team's record, within the write budget of the key-value store.
+  asio::awaitable<void> commit_changes();
 
  private:
   controller::SharedState& state_;
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -11,23 +11,23 @@
 using controller::ControllerState;
 using state::CommitStatus;
 
-constexpr int kMaxJobsExamined = 8;      // in one call
-constexpr std::size_t kMaxRanges = 48;   // of a job that is split further
-constexpr double kLeastTasksToMove = 1;  // of a job that may be split
+constexpr int kMaxJobsExamined = 8;     // per call
+constexpr std::size_t kMaxRanges = 48;  // jobs with more ranges are not split further
+constexpr double kMinTasksToMove = 1;   // for jobs that may be split
 
 struct Destination {
   core::PartitionId partition;
-  std::size_t tasks = 0;  // how many should go there
+  std::size_t tasks = 0;  // number of tasks to move
 };
 
-// Its tasks run in one partition, so that they can only move together.
-bool moves_as_a_whole(const jobs::JobSpec& spec) { return spec.gang() || spec.one_zone; }
+// All tasks of the job run in one partition, so they can only move together.
+bool must_move_whole(const jobs::JobSpec& spec) { return spec.gang() || spec.one_zone; }
 
-// How many tasks of the job that zone may still take, by the ranges of its partitions: a task has no
-// assignment but in the partition of its range, and one that moves has none at all, so what the ranges say
-// covers what runs.
-std::uint32_t room_in_zone(const ControllerState& state, const jobs::JobRecord& job,
-                           core::PartitionId partition) {
+// Returns the number of additional tasks that the partition's zone may run, by the ranges in that zone.
+// Ranges include all running tasks: a task is only assigned in the partition of its range, and moved tasks
+// have no assignment.
+std::uint32_t zone_headroom(const ControllerState& state, const jobs::JobRecord& job,
+                            core::PartitionId partition) {
   std::uint32_t there = 0;
   for (const auto& range : job.ranges)
     if (state.partitions.zone(range.partition) == state.partitions.zone(partition))
@@ -36,53 +36,56 @@
   return cap - std::min(cap, there);
 }
 
-// The partition with most room for what waits.
+// Returns the partition with the most free capacity for the waiting tasks.
 std::optional<Destination> best_destination(ControllerState& state, const jobs::JobRecord& job,
                                             const BacklogItem& item, core::TimePoint now) {
   const auto waiting = static_cast<double>(item.demand.tasks.size());
-  const double least = moves_as_a_whole(job.spec) ? waiting : kLeastTasksToMove;
+  const double min_tasks = must_move_whole(job.spec) ? waiting : kMinTasksToMove;
   std::optional<Destination> best;
-  double most = 0;
+  double max_free_after_backlog = 0;
   for (const auto& capacity : partition_capacities(state, job.spec, now)) {
-    double spare = capacity.free - capacity.backlog;
-    // Within one zone a move changes nothing about `scatter`.
+    double free_after_backlog = capacity.free - capacity.backlog;
+    // A move within the zone does not affect `scatter`.
     if (job.spec.spread && state.partitions.zone(capacity.partition) != state.partitions.zone(item.partition))
-      spare = std::min(spare, static_cast<double>(room_in_zone(state, job, capacity.partition)));
-    if (capacity.partition == item.partition || !capacity.allowed || spare < least || spare <= most) continue;
-    most = spare;
-    best = {capacity.partition, static_cast<std::size_t>(std::min(spare, waiting))};
+      free_after_backlog =
+          std::min(free_after_backlog, static_cast<double>(zone_headroom(state, job, capacity.partition)));
+    if (capacity.partition == item.partition || !capacity.allowed || free_after_backlog < min_tasks ||
+        free_after_backlog <= max_free_after_backlog)
+      continue;
+    max_free_after_backlog = free_after_backlog;
+    best = {capacity.partition, static_cast<std::size_t>(std::min(free_after_backlog, waiting))};
   }
   return best;
 }
 
-// The team's quota, over all partitions, does not keep the demand from starting: it waits for machines.
+// Returns true if the team's quota in all partitions allows the demand.
 bool quota_allows(const ControllerState& state, const sched::Demand& demand,
                   const std::vector<core::Resources>& used_by_team) {
   const auto& team = state.settings.teams[demand.team.index];
   const sched::TeamQuota quota{used_by_team[demand.team.index], team.cpus_max, team.gpus_max};
-  return quota.allows(demand.need_at_once());
+  return quota.allows(demand.need_to_start());
 }
 
-// The record of the item's job, if this controller may move tasks of it and moving them may help.
+// Returns the job's record, or nullptr if its tasks may not move or a move cannot help.
 const jobs::JobRecord* movable_job(const ControllerState& state, const BacklogItem& item,
                                    const std::vector<core::Resources>& used_by_team) {
   const auto& demand = item.demand;
   const auto* job = state.cache.job(demand.job);
   if (!state.leads(item.partition) || !job || job->status != jobs::Status::live) return nullptr;
   if (job->ranges.size() > kMaxRanges || !quota_allows(state, demand, used_by_team)) return nullptr;
-  if (moves_as_a_whole(job->spec) && state.cache.placed(demand.job) > 0) return nullptr;
+  if (must_move_whole(job->spec) && state.cache.placed(demand.job) > 0) return nullptr;
   return job;
 }
 
-// Nothing if the job's record would become too long for one value of the store.
-std::optional<RangeMove> move_to(const ControllerState& state, const jobs::JobRecord& job,
-                                 const BacklogItem& item, const Destination& destination) {
+// Returns nullopt if the job's record would exceed the maximum value size of the key-value store.
+std::optional<RangeMove> plan_move(const ControllerState& state, const jobs::JobRecord& job,
+                                   const BacklogItem& item, const Destination& destination) {
   const auto& waiting = item.demand.tasks;
   jobs::JobRecord next = job;
-  if (moves_as_a_whole(job.spec)) {
+  if (must_move_whole(job.spec)) {
     next.ranges = {{0, job.spec.tasks, destination.partition}};
   } else {
-    // The last ones: the first are those that would start here next.
+    // Moves the last tasks, since the first ones start next in this partition.
     const std::set<std::uint32_t> moved(waiting.end() - static_cast<std::ptrdiff_t>(destination.tasks),
                                         waiting.end());
     next.ranges = move_tasks(job.ranges, item.partition, destination.partition, moved);
@@ -96,11 +99,11 @@
   auto& compares = move.transaction.compares;
   compares.push_back({state::keys::partition(from), state.fencing_token(item.partition)});
   compares.push_back({state::keys::job(job_name), job.revision});
-  // A placement of ours that is still under way requires the job's record as it was.
+  // In-flight placements of this controller compare the job's old record and fail after the move.
   compares.push_back({state::keys::fence(from), state.cache.fence(item.partition)});
   move.transaction.writes.push_back({state::keys::job(job_name), std::move(value)});
-  move.log = fmt::format("tasks moved job={} tasks={} from={} to={}", job_name, destination.tasks, from,
-                         state.names.partitions.name(destination.partition));
+  move.log_line = fmt::format("tasks moved job={} tasks={} from={} to={}", job_name, destination.tasks, from,
+                              state.names.partitions.name(destination.partition));
   return move;
 }
 
@@ -131,7 +134,7 @@
     if (++examined > kMaxJobsExamined) break;
     const auto destination = best_destination(state, *job, item, now);
     if (!destination) continue;
-    if (auto move = move_to(state, *job, item, *destination)) return move;
+    if (auto move = plan_move(state, *job, item, *destination)) return move;
   }
   return std::nullopt;
 }
@@ -141,7 +144,7 @@
   auto move = state_.with([&](ControllerState& state) { return plan_range_move(state, backlog, now); });
   if (!move || !store_.spend(1, state::KeyValueStore::For::records)) co_return;
   const auto result = co_await follower_.commit(std::move(move->transaction));
-  if (result.outcome == CommitStatus::done) spdlog::info("{}", move->log);
+  if (result.outcome == CommitStatus::done) spdlog::info("{}", move->log_line);
 }
 
 }  // namespace finchrun::scheduling
--- a/src/scheduling/rebalancer.hpp
+++ b/src/scheduling/rebalancer.hpp
@@ -1,4 +1,4 @@
-// Moves tasks that can't be placed to a partition with room.
+// Moves tasks that cannot be placed to partitions with free capacity.
 #pragma once
 
 #include <optional>
@@ -15,36 +15,35 @@
 
 namespace asio = boost::asio;
 
-/// A change of one job's task ranges.
+/// A transaction that changes the task ranges of one job.
 struct RangeMove {
-  /// Compares the source partition's fencing token and fence, and the job's record: a placement of ours that
-  /// is still under way requires that record as it was (rules `ran_twice` and `wrong_place`).
+  /// Compares the source partition's fencing token and fence, and the job's record. In-flight placements of
+  /// this controller compare the same record and fail after the move (rules `ran_twice` and `wrong_place`).
   state::Transaction transaction;
-  std::string log;  // to be logged once the transaction is applied
+  std::string log_line;  // logged after the commit
 };
 
-/// The first job of the backlog, in its order, of which tasks should go to another partition; nothing if none
-/// should. Tasks move only by a change of their job's record, and those of a gang or of a job that stays in
-/// one zone move all at once and only while none of them is placed (rule `wrong_place`).
-/// Refreshes the state's cached load, and changes nothing else of it.
+/// Returns the move for the first job in the backlog whose tasks should go to another partition, or nullopt.
+/// Tasks move only by a change of their job's record. Tasks of a gang or a single-zone job move together and
+/// only while none of them is placed (rule `wrong_place`). Changes nothing in the state but the cached load.
 std::optional<RangeMove> plan_range_move(controller::ControllerState& state, const Backlog& backlog,
                                          core::TimePoint now);
 
-/// The ranges with `tasks`, as far as they belong to `from`, given to `to`. Neighbours in one partition stay
-/// in one range; ranges of other partitions stay as they are.
+/// Returns the ranges with those of `tasks` that belong to partition `from` moved to `to`. Splits ranges only
+/// where necessary, and keeps the ranges of other partitions.
 std::vector<jobs::Range> move_tasks(const std::vector<jobs::Range>& ranges, core::PartitionId from,
                                     core::PartitionId to, const std::set<std::uint32_t>& tasks);
 
-/// Changes the task ranges of jobs in the backlog, one job a call: the load that a second move would be
-/// decided on does not show the first.
+/// Moves tasks of jobs in the backlog, one job per call, since the cached load does not include the previous
+/// move.
 class Rebalancer {
  public:
   Rebalancer(controller::SharedState& state, state::KeyValueStore& store,
              coordination::StateFollower& follower)
       : state_(state), store_(store), follower_(follower) {}
 
-  /// Plans one move and commits it, if the store's budget of writes allows. A move that fails is planned anew
-  /// with the next backlog.
+  /// Plans one move and commits it if the write budget allows. A failed move is planned again from the next
+  /// backlog.
   asio::awaitable<void> rebalance(const Backlog& backlog);
 
  private:
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -11,27 +11,27 @@
 
 using controller::ControllerState;
 
-// A copy of the store that is older than this is not decided from.
+// Scheduling decisions require a state cache that is synchronized within this time.
 constexpr double kMaxCacheAgeS = 2.0;
 
-// Of one job in one partition and round: bounds the work here. A gang is looked at as a whole.
-constexpr std::size_t kMostTasksOfJob = 200;
+// Per array or service, partition and round, to limit the work. Gangs are considered as a whole.
+constexpr std::size_t kMaxTasksPerJob = 200;
 
-// On a cordoned machine (starts have failed there lately) a start is expected to cost this much more.
-constexpr double kCordonedRiskS = 30;
+// The expected additional start time on a cordoned machine, where starts have failed recently.
+constexpr double kCordonedStartDelayS = 30;
 
-// A limited team with nothing allowed in a partition: 0 would mean no limit.
-constexpr double kLeastLimit = 1e-9;
+// Stands for a share of 0 of a limited team, since a limit of 0 means unlimited.
+constexpr double kMinLimit = 1e-9;
 
 template <class F>
-void each_partition(const ControllerState& state, F&& f) {
+void for_each_partition(const ControllerState& state, F&& f) {
   for (std::uint32_t p = 0; p < state.partitions.size(); ++p) f(core::PartitionId{p});
 }
 
-// Brings the usage windows of our partitions up to now; those of a new leadership go on from what the earlier
-// leader recorded.
-void roll_own_usage(ControllerState& state, double wall_s) {
-  each_partition(state, [&](core::PartitionId partition) {
+// Advances the usage windows of the partitions led here to `wall_s`. After a change of leadership, continues
+// from the record of the earlier leader.
+void advance_usage_windows(ControllerState& state, double wall_s) {
+  for_each_partition(state, [&](core::PartitionId partition) {
     if (!state.leads(partition)) return;
     auto& usage = state.usage[partition.index];
     auto& usage_from = state.usage_from[partition.index];
@@ -44,7 +44,7 @@
   });
 }
 
-// Books the core-seconds of what runs in our partitions: `seconds` for each task that a heartbeat has shown.
+// Adds `seconds` of usage for each task that heartbeats have confirmed in the partitions led here.
 void book_usage(ControllerState& state, double wall_s, double seconds) {
   const auto teams = state.settings.teams.size();
   state.cache.each_run([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
@@ -60,7 +60,7 @@
   });
 }
 
-// Usage by team in one partition. Another leader's is as last recorded, aged to now.
+// Returns the decayed usage by team in one partition; for another leader's partition from its last record.
 std::vector<double> decayed_usage_in(const ControllerState& state, core::PartitionId partition,
                                      double wall_s) {
   if (state.leads(partition)) return state.usage[partition.index].decayed();
@@ -74,7 +74,7 @@
 
 std::vector<double> decayed_usage(const ControllerState& state, double wall_s) {
   std::vector<double> usage(state.settings.teams.size(), 0);
-  each_partition(state, [&](core::PartitionId partition) {
+  for_each_partition(state, [&](core::PartitionId partition) {
     const auto here = decayed_usage_in(state, partition, wall_s);
     for (std::size_t team = 0; team < usage.size(); ++team) usage[team] += here[team];
   });
@@ -90,7 +90,7 @@
   return guarantees;
 }
 
-// We lead it, and know everything that was written before its fence moved last.
+// Requires leadership, no fence that is due, and a cache that includes all writes before the last fence.
 bool may_place_in(const ControllerState& state, core::PartitionId partition) {
   return state.leads(partition) && !state.fence_due[partition.index] &&
          state.cache.revision() >= state.fenced_at[partition.index];
@@ -111,7 +111,7 @@
 
 void add_partitions(const ControllerState& state, const std::vector<std::vector<core::Resources>>& used,
                     RoundView& view) {
-  each_partition(state, [&](core::PartitionId partition) {
+  for_each_partition(state, [&](core::PartitionId partition) {
     if (!may_place_in(state, partition)) return;
     auto& partition_view = view.partitions[partition];
     partition_view.fencing_token = state.fencing_token(partition);
@@ -124,15 +124,14 @@
     const auto partition = view.partitions.find(machine.partition);
     if (partition == view.partitions.end() || !state.usable(machine, now)) continue;
     if (const auto* machine_type = state.fleet.machine_type(machine.type))
-      partition->second.nodes.push_back(node_of(state, machine, *machine_type, now));
+      partition->second.nodes.push_back(make_node(state, machine, *machine_type, now));
   }
-  // The profiles are of all partitions; each sees its even part of the tasks.
+  // Profiles cover all partitions; assumes an equal part of the tasks in each.
   auto job_classes = state.job_classes;
-  for (auto& job_class : job_classes) job_class.tasks /= static_cast<double>(state.partitions.size());
-  for (auto& [_, partition] : view.partitions) sched::mark_scarcity(partition.nodes, job_classes);
+  for (auto& job_class : job_classes) job_class.active_tasks /= static_cast<double>(state.partitions.size());
+  for (auto& [_, partition] : view.partitions) sched::compute_scarcity(partition.nodes, job_classes);
 }
 
-// Jobs that have a reservation on some machine.
 std::set<core::JobId> jobs_with_reservation(const ControllerState& state, core::TimePoint now) {
   std::set<core::JobId> jobs;
   for (const auto& [_, machine] : state.fleet.all())
@@ -140,7 +139,7 @@
   return jobs;
 }
 
-// After failures of its tasks a job waits for a while.
+// Returns false during the backoff after failures of the job's tasks.
 bool may_start_now(const ControllerState& state, core::JobId id, core::TimePoint now) {
   const auto failures = state.job_failures.find(id);
   return failures == state.job_failures.end() || failures->second.retry_at <= now;
@@ -150,16 +149,16 @@
   const auto reserved = jobs_with_reservation(state, now);
   for (const auto id : state.cache.live()) {
     const auto& spec = state.cache.job(id)->spec;
-    // Its team may not be of this deployment any more.
+    // The team may have been removed from the settings.
     if (spec.team.index >= view.used_by_team.size() || !may_start_now(state, id, now)) continue;
     const WaitingTasks waiting(state.cache, id);
-    if (!waiting.any()) continue;
+    if (!waiting.has_waiting()) continue;
     for (auto& [partition, partition_view] : view.partitions) {
-      auto demand = demand_of(state, id, partition, waiting);
+      auto demand = make_demand(state, id, partition, waiting);
       if (!demand) continue;
       demand->waited_s = wall_s - spec.submitted_s;
-      demand->within = view.within_guarantee.contains(id);
-      demand->guaranteed = demand->within && demand->waited_s >= state.guarantee_grace_s();
+      demand->within_guarantee = view.jobs_within_guarantee.contains(id);
+      demand->may_claim_guarantee = demand->within_guarantee && demand->waited_s >= state.guarantee_grace_s();
       demand->deferrable = state.deferrable(spec, wall_s);
       demand->has_reservation = reserved.contains(id);
       view.queue.push_back({demand->team, demand->image, demand->need.cpus, demand->count});
@@ -169,8 +168,7 @@
   }
 }
 
-// A task of the job may be on a machine of another zone than the partition's.
-bool runs_in_other_zone(const ControllerState& state, core::JobId id, core::PartitionId partition) {
+bool may_run_in_other_zone(const ControllerState& state, core::JobId id, core::PartitionId partition) {
   bool elsewhere = false;
   state.cache.each_run(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
     elsewhere = elsewhere || (state.partitions.zone(other) != state.partitions.zone(partition) &&
@@ -182,11 +180,11 @@
 }  // namespace
 
 double limit_in_partition(double team_limit, double share) {
-  return team_limit > 0 ? std::max(share, kLeastLimit) : 0;
+  return team_limit > 0 ? std::max(share, kMinLimit) : 0;
 }
 
-sched::Node node_of(const ControllerState& state, const agent::Machine& machine,
-                    const cloud::MachineType& machine_type, core::TimePoint now) {
+sched::Node make_node(const ControllerState& state, const agent::Machine& machine,
+                      const cloud::MachineType& machine_type, core::TimePoint now) {
   sched::Node node;
   node.id = machine.id;
   node.type = machine.type;
@@ -204,22 +202,22 @@
     if (!machine.holds(job->spec.image)) fetching.insert(job->spec.image);
     if (job->spec.standing()) node.replicas.push_back(placed.job);
   }
-  node.fetching = fetching.size();
-  if (machine.cordoned_until > now) node.risk_s = kCordonedRiskS;
+  node.fetches_in_progress = fetching.size();
+  if (machine.cordoned_until > now) node.start_delay_s = kCordonedStartDelayS;
   if (machine.reserved_until > now) {
     node.reserved_for = machine.reserved_for;
-    node.reserved_in_s = std::max(0.0, core::since(now, machine.reserved_ready));
+    node.reservation_starts_in_s = std::max(0.0, core::since(now, machine.reserved_ready));
   }
   return node;
 }
 
-std::uint32_t room_in_zone(const ControllerState& state, core::JobId id, core::PartitionId partition) {
+std::uint32_t zone_headroom(const ControllerState& state, core::JobId id, core::PartitionId partition) {
   const auto& job = *state.cache.job(id);
-  // `together` of the job's request: while any task, of an old attempt too, may be in another zone, none may
-  // start here.
-  if (job.spec.one_zone && runs_in_other_zone(state, id, partition)) return 0;
-  // `scatter` of the request: what other partitions of the zone may ever place counts too, so no two leaders
-  // need to agree.
+  // `together` in the request: no task may start here while any task, including old attempts, may be in
+  // another zone.
+  if (job.spec.one_zone && may_run_in_other_zone(state, id, partition)) return 0;
+  // `scatter` in the request: counts all tasks that other partitions in the zone may place, so that leaders
+  // need no coordination.
   std::uint32_t in_zone = 0;
   for (const auto& range : job.ranges)
     if (range.partition != partition &&
@@ -232,14 +230,14 @@
   return cap - std::min(cap, in_zone);
 }
 
-std::optional<sched::Demand> demand_of(const ControllerState& state, core::JobId id,
-                                       core::PartitionId partition, const WaitingTasks& waiting) {
+std::optional<sched::Demand> make_demand(const ControllerState& state, core::JobId id,
+                                         core::PartitionId partition, const WaitingTasks& waiting) {
   const auto& job = *state.cache.job(id);
   const auto& spec = job.spec;
-  // Until every task of its earlier attempt is gone, in whatever partition, a gang can't start again.
+  // A gang cannot restart until all tasks of its earlier attempt have ended in all partitions.
   if (spec.gang() && state.cache.placed(id) > 0) return std::nullopt;
   sched::Demand demand;
-  demand.tasks = waiting.first(partition, spec.gang() ? spec.tasks : kMostTasksOfJob);
+  demand.tasks = waiting.first_tasks(partition, spec.gang() ? spec.tasks : kMaxTasksPerJob);
   if (demand.tasks.empty() || (spec.gang() && demand.tasks.size() != spec.tasks)) return std::nullopt;
   demand.count = waiting.count(partition);
   demand.job = id;
@@ -252,11 +250,11 @@
   demand.expected_run_s = spec.expected_run_s;
   demand.priority = static_cast<int>(spec.priority);
   demand.gang = spec.gang();
-  demand.standing = spec.standing();
+  demand.is_service = spec.standing();
   demand.spot = spec.spot;
-  demand.types = spec.types;
+  demand.allowed_types = spec.types;
   demand.zone = spec.zone;
-  demand.room_in_zone = room_in_zone(state, id, partition);
+  demand.zone_headroom = zone_headroom(state, id, partition);
   return demand;
 }
 
@@ -272,7 +270,7 @@
   view.team_shares = state.shares;
   view.used_by_team = controller::sum_by_team(used, state.settings.teams.size());
   view.guarantees = guarantees_of(state.settings.teams, view.used_by_team);
-  roll_own_usage(state, wall_s);
+  advance_usage_windows(state, wall_s);
   book_usage(state, wall_s, round_s);
   view.decayed_usage = decayed_usage(state, wall_s);
   state.observe_job_classes();
@@ -280,7 +278,7 @@
   add_partitions(state, used, view);
   if (view.partitions.empty()) return std::nullopt;
   add_nodes(state, now, view);
-  view.within_guarantee = state.within_guarantee();
+  view.jobs_within_guarantee = state.within_guarantee();
   add_demands(state, wall_s, now, view);
   return view;
 }
--- a/src/scheduling/scheduling_round.cpp
+++ b/src/scheduling/scheduling_round.cpp
@@ -10,32 +10,32 @@
 using assignments::PlannedPlacement;
 using controller::ControllerState;
 
-std::vector<PlannedPlacement> recordable_pieces(core::PartitionId partition, std::uint64_t fencing_token,
-                                                const std::vector<sched::Placement>& placements,
-                                                const std::vector<sched::Demand>& demands,
-                                                const std::vector<sched::Costs>& costs,
-                                                std::size_t most_assignments) {
-  std::vector<PlannedPlacement> pieces;
-  std::map<std::size_t, std::size_t> placed;  // by demand, so far
+std::vector<PlannedPlacement> split_into_batches(core::PartitionId partition, std::uint64_t fencing_token,
+                                                 const std::vector<sched::Placement>& placements,
+                                                 const std::vector<sched::Demand>& demands,
+                                                 const std::vector<sched::Costs>& costs,
+                                                 std::size_t max_assignments) {
+  std::vector<PlannedPlacement> batches;
+  std::map<std::size_t, std::size_t> placed;  // number of tasks placed so far, by demand
   for (const auto& placement : placements) {
     const auto& demand = demands[placement.demand];
     const auto before = placed[placement.demand]++;
-    if (before == 0 || (!demand.gang && before % most_assignments == 0))
-      pieces.push_back(
+    if (before == 0 || (!demand.gang && before % max_assignments == 0))
+      batches.push_back(
           {partition, fencing_token, demand.job, demand.job_revision, costs[placement.demand].weight, {}});
-    pieces.back().tasks.emplace_back(placement.task, placement.machine);
+    batches.back().tasks.emplace_back(placement.task, placement.machine);
   }
-  return pieces;
+  return batches;
 }
 
-void subtract_placed(const sched::Plan& plan, std::vector<sched::Demand>& demands) {
+void remove_placed_tasks(const sched::Plan& plan, std::vector<sched::Demand>& demands) {
   std::map<std::size_t, std::uint32_t> placed;  // by demand
   for (const auto& placement : plan.placements) ++placed[placement.demand];
   for (const auto index : plan.unplaced) {
     const auto count = placed.find(index);
     if (count == placed.end()) continue;
     auto& demand = demands[index];
-    // Tasks are placed in their order.
+    // Tasks are placed in the order of `demand.tasks`.
     demand.tasks.erase(demand.tasks.begin(), demand.tasks.begin() + count->second);
     demand.count -= count->second;
   }
@@ -51,7 +51,7 @@
   }
   for (const auto index : plan.unplaced) {
     const auto& demand = demands[index];
-    summary.over_quota += plan.teams.at(demand.team.index).allows(demand.need_at_once()) ? 0 : 1;
+    summary.over_quota += plan.team_quotas.at(demand.team.index).allows(demand.need_to_start()) ? 0 : 1;
     summary.with_reservation += demand.has_reservation ? 1 : 0;
   }
   return summary;
@@ -67,19 +67,19 @@
 
   const auto costs = sched::rank(view->queue, view->team_shares, view->decayed_usage,
                                  {tuning_.image_factor, tuning_.size_factor, tuning_.usage_factor});
-  std::vector<PlannedPlacement> pieces;
+  std::vector<PlannedPlacement> batches;
   for (const auto& [partition, _] : view->partitions) {
-    auto here = place_in(partition, *view, costs, now);
-    std::move(here.begin(), here.end(), std::back_inserter(pieces));
+    auto here = place_partition(partition, *view, costs, now);
+    std::move(here.begin(), here.end(), std::back_inserter(batches));
   }
-  const auto retry_at = co_await recorder_.record(std::move(pieces), view->attempt);
-  co_await quota_.share();
+  const auto retry_at = co_await recorder_.record(std::move(batches), view->attempt);
+  co_await quota_.commit_changes();
   co_return retry_at;
 }
 
-std::vector<PlannedPlacement> SchedulingRound::place_in(core::PartitionId partition, RoundView& view,
-                                                        const std::vector<sched::Costs>& costs,
-                                                        core::TimePoint now) {
+std::vector<PlannedPlacement> SchedulingRound::place_partition(core::PartitionId partition, RoundView& view,
+                                                               const std::vector<sched::Costs>& costs,
+                                                               core::TimePoint now) {
   auto& partition_view = view.partitions.at(partition);
   std::vector<sched::Demand> demands;
   std::vector<sched::Costs> demand_costs;
@@ -90,15 +90,15 @@
   const auto machines = partition_view.nodes.size();
   const auto plan =
       sched::place(std::move(partition_view.nodes), demands, demand_costs, partition_view.team_quotas);
-  auto pieces =
-      recordable_pieces(partition, partition_view.fencing_token, plan.placements, demands, demand_costs,
-                        assignments::AssignmentWriter::most_assignments(settings_.state_limits));
-  subtract_placed(plan, demands);
+  auto batches =
+      split_into_batches(partition, partition_view.fencing_token, plan.placements, demands, demand_costs,
+                         assignments::AssignmentWriter::most_assignments(settings_.state_limits));
+  remove_placed_tasks(plan, demands);
   preemptor_.make_room(partition, plan, demands, view, machines, now);
   if (spdlog::should_log(spdlog::level::debug)) log_partition(partition, plan, demands);
   quota_.collect(partition, plan, demands, view.used_by_team);
   for (const auto index : plan.unplaced) backlog_.push_back({partition, std::move(demands[index])});
-  return pieces;
+  return batches;
 }
 
 void SchedulingRound::log_partition(core::PartitionId partition, const sched::Plan& plan,
--- a/src/scheduling/scheduling_round.hpp
+++ b/src/scheduling/scheduling_round.hpp
@@ -1,5 +1,5 @@
-/// A scheduling round: the waiting tasks of our partitions are ranked, placed, and the placements recorded
-/// before any start command leaves.
+/// A scheduling round: ranks and places the waiting tasks of the partitions that this controller leads, and
+/// records the placements before any start command is sent.
 #pragma once
 
 #include <optional>
@@ -16,32 +16,31 @@
 
 namespace asio = boost::asio;
 
-/// Cuts a plan's placements into pieces that are recorded one by one: a gang as a whole, an array in pieces
-/// of `most_assignments` at most, so that each fits into one transaction. The pieces keep the plan's order:
-/// what does not get into this round's transactions is what ranks lowest. `demands` and `costs`: those that
-/// the plan was made from.
-std::vector<assignments::PlannedPlacement> recordable_pieces(core::PartitionId partition,
-                                                             std::uint64_t fencing_token,
-                                                             const std::vector<sched::Placement>& placements,
-                                                             const std::vector<sched::Demand>& demands,
-                                                             const std::vector<sched::Costs>& costs,
-                                                             std::size_t most_assignments);
+/// Splits a plan's placements into batches that each fit in one transaction: a gang as a whole, an array in
+/// batches of at most `max_assignments`. Batches keep the plan's order, so that the lowest ranked tasks are
+/// left out if not all can be recorded in this round. `demands` and `costs` are the input of the plan.
+std::vector<assignments::PlannedPlacement> split_into_batches(core::PartitionId partition,
+                                                              std::uint64_t fencing_token,
+                                                              const std::vector<sched::Placement>& placements,
+                                                              const std::vector<sched::Demand>& demands,
+                                                              const std::vector<sched::Costs>& costs,
+                                                              std::size_t max_assignments);
 
-/// Takes what the plan has placed out of its unplaced demands, which keep the tasks that still wait.
-void subtract_placed(const sched::Plan& plan, std::vector<sched::Demand>& demands);
+/// Removes the placed tasks from the plan's unplaced demands, which keep the tasks that still wait.
+void remove_placed_tasks(const sched::Plan& plan, std::vector<sched::Demand>& demands);
 
-/// What a round has done in one partition, for the log.
+/// The result of a round in one partition, for the log.
 struct PartitionSummary {
   std::size_t machines = 0;
   std::size_t reserved = 0;          // machines with a reservation
   core::Resources free;              // after placing, on machines without a reservation
-  core::Resources reserved_free;     // the same, on the others
-  std::size_t over_quota = 0;        // unplaced demands that their team's share here does not allow
-  std::size_t with_reservation = 0;  // unplaced demands for which room is made or kept
+  core::Resources reserved_free;     // after placing, on machines with a reservation
+  std::size_t over_quota = 0;        // unplaced demands that exceed their team's share
+  std::size_t with_reservation = 0;  // unplaced demands with a reservation or preemption
 };
 PartitionSummary summarize(const sched::Plan& plan, const std::vector<sched::Demand>& demands);
 
-/// Runs one round at a time.
+/// Runs scheduling rounds, one at a time.
 class SchedulingRound {
  public:
   SchedulingRound(controller::SharedState& state, assignments::PlacementRecorder& recorder,
@@ -54,17 +53,18 @@
         settings_(settings),
         tuning_(tuning) {}
 
-  /// Runs a round; `round_s`: since the one before. When something could not be recorded: the moment from
-  /// which the next round may try again.
+  /// Runs a round; `round_s` is the time since the previous one. If a placement could not be recorded,
+  /// returns the earliest time for a retry.
   asio::awaitable<std::optional<core::TimePoint>> run(double round_s);
-  /// What the newest round could not place.
+  /// The tasks that the last round could not place.
   [[nodiscard]] const Backlog& backlog() const { return backlog_; }
 
  private:
-  /// Places in one partition, makes room for what is left, and notes that as backlog. Returns what to record.
-  std::vector<assignments::PlannedPlacement> place_in(core::PartitionId partition, RoundView& view,
-                                                      const std::vector<sched::Costs>& costs,
-                                                      core::TimePoint now);
+  /// Places tasks in one partition, makes room for the unplaced demands and adds them to the backlog. Returns
+  /// the placements to record.
+  std::vector<assignments::PlannedPlacement> place_partition(core::PartitionId partition, RoundView& view,
+                                                             const std::vector<sched::Costs>& costs,
+                                                             core::TimePoint now);
   void log_partition(core::PartitionId partition, const sched::Plan& plan,
                      const std::vector<sched::Demand>& demands);
 
--- a/src/scheduling/usage_recorder.hpp
+++ b/src/scheduling/usage_recorder.hpp
@@ -1,4 +1,4 @@
-// Writes the usage windows of our partitions, so that the next leader goes on from them.
+// Records the usage windows of the partitions led here, so that the next leader continues from them.
 #pragma once
 
 #include <vector>
@@ -11,19 +11,19 @@
 
 namespace asio = boost::asio;
 
-/// One write for each partition that this controller leads and whose usage it has taken over under its
-/// present fencing token; each compares that token. The newest windows, as many as fit into one value: the
-/// oldest count least. Whole core-seconds.
+/// Returns one write for each partition that this controller leads and whose earlier record it has restored
+/// under the current fencing token; each compares that token. Writes as many of the newest windows as fit in
+/// one value, since the oldest have the least weight, in whole core-seconds.
 std::vector<state::Transaction> plan_usage_records(const controller::ControllerState& state);
 
-/// Records usage. What is lost between two records makes fair share a little less fair, and nothing else.
+/// Records usage. Usage lost between two records affects only the accuracy of fair sharing.
 class UsageRecorder {
  public:
   UsageRecorder(controller::SharedState& state, state::KeyValueStore& store,
                 coordination::StateFollower& follower)
       : state_(state), store_(store), follower_(follower) {}
 
-  /// Commits what is planned, as far as the store's budget of writes goes.
+  /// Commits the planned writes within the write budget of the key-value store.
   asio::awaitable<void> record();
 
  private:
--- a/src/scheduling/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -6,16 +6,16 @@
 
 WaitingTasks::WaitingTasks(const state::StateCache& cache, core::JobId id) : job_(cache.job(id)) {
   const auto tasks = job_->spec.tasks;
-  // Most jobs have nothing waiting; that is seen without looking at single tasks.
-  any_ = cache.done(id) + cache.placed(id) < tasks;
-  if (!any_) return;
+  // Most jobs have no waiting tasks, which the counters show without a pass over the tasks.
+  has_waiting_ = cache.done(id) + cache.placed(id) < tasks;
+  if (!has_waiting_) return;
   busy_.assign(tasks, false);
   cache.each_run(id, [&](core::PartitionId, const jobs::JobAssignments& run) { mark_busy(run); });
 }
 
 void WaitingTasks::mark_busy(const jobs::JobAssignments& run) {
   const auto tasks = job_->spec.tasks;
-  // A replica that has ended runs again, whatever an earlier version may have recorded of it.
+  // An ended replica is started again, so `done` of a service, recorded by earlier versions, is ignored.
   if (!job_->spec.standing())
     for (const auto& [from, to] : run.done.spans())
       std::fill(busy_.begin() + std::min(from, tasks), busy_.begin() + std::min(to, tasks), true);
@@ -25,7 +25,7 @@
 
 std::uint32_t WaitingTasks::count(core::PartitionId partition) const {
   std::uint32_t waiting = 0;
-  if (!any_) return waiting;
+  if (!has_waiting_) return waiting;
   for (const auto& range : job_->ranges)
     if (range.partition == partition)
       waiting +=
@@ -33,12 +33,13 @@
   return waiting;
 }
 
-std::vector<std::uint32_t> WaitingTasks::first(core::PartitionId partition, std::size_t most) const {
+std::vector<std::uint32_t> WaitingTasks::first_tasks(core::PartitionId partition,
+                                                     std::size_t max_count) const {
   std::vector<std::uint32_t> tasks;
-  if (!any_) return tasks;
+  if (!has_waiting_) return tasks;
   for (const auto& range : job_->ranges) {
     if (range.partition != partition) continue;
-    for (auto task = range.from; task < range.to && tasks.size() < most; ++task)
+    for (auto task = range.from; task < range.to && tasks.size() < max_count; ++task)
       if (!busy_[task]) tasks.push_back(task);
   }
   return tasks;
--- a/src/scheduling/waiting_tasks.hpp
+++ b/src/scheduling/waiting_tasks.hpp
@@ -1,4 +1,4 @@
-/// Which tasks of a job wait, by the records of all partitions.
+/// The waiting tasks of a job, determined from the records of all partitions.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,27 @@
 
 namespace finchrun::scheduling {
 
-/// The waiting tasks of one job: neither done nor possibly on a machine, in whatever partition (rule
-/// `ran_twice`). Points into the cache: valid as long as the lock under which it was made is held.
+/// The waiting tasks of one job: tasks that are not done and cannot be on a machine in any partition (rule
+/// `ran_twice`). Points into the state cache, so it is valid only while the state's lock is held.
 class WaitingTasks {
  public:
-  /// The job must be known to the cache.
+  /// The job must be in the cache.
   WaitingTasks(const state::StateCache& cache, core::JobId id);
 
-  /// Does any task of the job wait?
-  [[nodiscard]] bool any() const { return any_; }
-  /// How many wait in ranges that belong to the partition.
+  /// Returns true if any task of the job waits.
+  [[nodiscard]] bool has_waiting() const { return has_waiting_; }
+  /// Returns the number of waiting tasks in the partition's ranges.
   [[nodiscard]] std::uint32_t count(core::PartitionId partition) const;
-  /// The first of them, `most` at most, by rising number.
-  [[nodiscard]] std::vector<std::uint32_t> first(core::PartitionId partition, std::size_t most) const;
+  /// Returns up to `max_count` of the partition's waiting tasks in ascending order.
+  [[nodiscard]] std::vector<std::uint32_t> first_tasks(core::PartitionId partition,
+                                                       std::size_t max_count) const;
 
  private:
   void mark_busy(const jobs::JobAssignments& run);
 
   const jobs::JobRecord* job_;
-  bool any_ = false;
-  std::vector<bool> busy_;  // by task: done, or possibly on a machine; empty if none waits
+  bool has_waiting_ = false;
+  std::vector<bool> busy_;  // by task: done or possibly on a machine; empty if none waits
 };
 
 }  // namespace finchrun::scheduling
--- a/tests/autoscaling/scale_out_plan_test.cpp
+++ b/tests/autoscaling/scale_out_plan_test.cpp
@@ -43,7 +43,7 @@
   void spot_work() {
     sched::JobClassProfile job_class;
     job_class.spot = true;
-    job_class.tasks = 3;
+    job_class.active_tasks = 3;
     state.job_classes.push_back(job_class);
   }
   scheduling::Backlog backlog;
@@ -96,7 +96,7 @@
                          {{kCpu, 1.5}}},
                     Case{"spot_where_allowed", [](Scene& s) { s.demand(8).spot = true; }, {{kCpuSpot, 2}}},
                     Case{"only_the_type_asked_for",
-                         [](Scene& s) { s.demand(8).types = {s.state.fleet.machine_type_ids[1]}; },
+                         [](Scene& s) { s.demand(8).allowed_types = {s.state.fleet.machine_type_ids[1]}; },
                          {{kGpu, 1}}},
                     Case{"only_what_fits_a_machine",
                          [](Scene& s) {
@@ -188,8 +188,8 @@
   // "cpu.4-a|" sorts before "cpu.4|", though "cpu.4" alone sorts before "cpu.4-a".
   scene.state.fleet.machine_types.push_back({"cpu.4-a", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}});
   scene.state.fleet.machine_type_ids.push_back(scene.state.names.types.intern("cpu.4-a"));
-  scene.demand(4).types = {scene.state.fleet.machine_type_ids[0]};
-  scene.demand(4).types = {scene.state.fleet.machine_type_ids[3]};
+  scene.demand(4).allowed_types = {scene.state.fleet.machine_type_ids[0]};
+  scene.demand(4).allowed_types = {scene.state.fleet.machine_type_ids[3]};
   const auto requests = plan_scale_out(scene.state, scene.backlog, scene.backoff, kNow);
   ASSERT_EQ(requests.size(), 2u);
   EXPECT_EQ(requests[0].kind.type, "cpu.4-a");
--- a/tests/controller/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -187,13 +187,13 @@
   const auto id = p.job("req", 50, jobs::Shape::array);
   p.state.observe_job_classes();
   ASSERT_EQ(p.state.job_classes.size(), 1u);
-  EXPECT_DOUBLE_EQ(p.state.job_classes[0].tasks, 50);
+  EXPECT_DOUBLE_EQ(p.state.job_classes[0].active_tasks, 50);
   auto record = *p.state.cache.job(id);
   record.status = jobs::Status::cancelled;
   record.ranges.clear();
   p.state.cache.apply({"jobs/req", jobs::to_json(record, p.state.names), ++p.revision});
   p.state.observe_job_classes();
-  EXPECT_DOUBLE_EQ(p.state.job_classes[0].tasks, 49);
+  EXPECT_DOUBLE_EQ(p.state.job_classes[0].active_tasks, 49);
 }
 
 }  // namespace
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -35,7 +35,7 @@
   d.gang = gang;
   d.count = tasks;
   for (std::uint32_t i = 0; i < tasks; ++i) d.tasks.push_back(i);
-  d.room_in_zone = tasks;
+  d.zone_headroom = tasks;
   return d;
 }
 
@@ -56,7 +56,7 @@
 
 class Place : public testing::TestWithParam<Case> {};
 
-TEST_P(Place, PlacesAsManyAs) {
+TEST_P(Place, PlacesExpectedNumberOfTasks) {
   const auto& c = GetParam();
   std::vector<Costs> costs;
   for (double w : c.weights) costs.push_back(weight(w));
@@ -79,60 +79,60 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table, Place,
-    testing::Values(
-        Case{"highest weight first",
-             {node(0, 4)},
-             {demand(0, 1, 4, false), demand(1, 1, 4, false)},
-             {1, 2},
-             0,
-             {0, 1}},
-        Case{"gang all or nothing",
-             {node(0, 4), node(1, 2)},
-             {demand(0, 2, 4, true), demand(1, 1, 2, false)},
-             {2, 1},
-             0,
-             {0, 1}},
-        Case{"array takes what fits", {node(0, 4)}, {demand(0, 9, 1, false)}, {1}, 0, {4}},
-        Case{"team limit for arrays", {node(0, 8)}, {demand(0, 8, 1, false)}, {1}, 3, {3}},
-        Case{"team limit for gangs", {node(0, 8)}, {demand(0, 4, 1, true)}, {1}, 3, {0}},
-        Case{"spot only for those that may", {node(0, 4, true)}, {demand(0, 1, 4, false)}, {1}, 0, {0}},
-        Case{"spot allowed",
-             {node(0, 4, true)},
-             {with(demand(0, 1, 4, false), [](Demand& d) { d.spot = true; })},
-             {1},
-             0,
-             {1}},
-        Case{"type not allowed",
-             {node(0, 4, false, 1)},
-             {with(demand(0, 1, 1, false), [](Demand& d) { d.types = {{MachineTypeId{0}}}; })},
-             {1},
-             0,
-             {0}},
-        Case{"other zone",
-             {node(0, 4)},
-             {with(demand(0, 1, 1, false), [](Demand& d) { d.zone = ZoneId{1}; })},
-             {1},
-             0,
-             {0}},
-        Case{"spread cap",
-             {node(0, 8)},
-             {with(demand(0, 5, 1, false), [](Demand& d) { d.room_in_zone = 3; })},
-             {1},
-             0,
-             {3}},
-        Case{"spread cap holds a gang back",
-             {node(0, 8)},
-             {with(demand(0, 5, 1, true), [](Demand& d) { d.room_in_zone = 3; })},
-             {1},
-             0,
-             {0}}),
+    testing::Values(Case{"highest_weight_first",
+                         {node(0, 4)},
+                         {demand(0, 1, 4, false), demand(1, 1, 4, false)},
+                         {1, 2},
+                         0,
+                         {0, 1}},
+                    Case{"gang_is_not_placed_in_part",
+                         {node(0, 4), node(1, 2)},
+                         {demand(0, 2, 4, true), demand(1, 1, 2, false)},
+                         {2, 1},
+                         0,
+                         {0, 1}},
+                    Case{"array_is_placed_in_part", {node(0, 4)}, {demand(0, 9, 1, false)}, {1}, 0, {4}},
+                    Case{"array_capped_by_team_limit", {node(0, 8)}, {demand(0, 8, 1, false)}, {1}, 3, {3}},
+                    Case{"gang_over_team_limit", {node(0, 8)}, {demand(0, 4, 1, true)}, {1}, 3, {0}},
+                    Case{"spot_not_allowed", {node(0, 4, true)}, {demand(0, 1, 4, false)}, {1}, 0, {0}},
+                    Case{"spot_allowed",
+                         {node(0, 4, true)},
+                         {with(demand(0, 1, 4, false), [](Demand& d) { d.spot = true; })},
+                         {1},
+                         0,
+                         {1}},
+                    Case{"type_not_allowed",
+                         {node(0, 4, false, 1)},
+                         {with(demand(0, 1, 1, false),
+                               [](Demand& d) { d.allowed_types = {{MachineTypeId{0}}}; })},
+                         {1},
+                         0,
+                         {0}},
+                    Case{"other_zone",
+                         {node(0, 4)},
+                         {with(demand(0, 1, 1, false), [](Demand& d) { d.zone = ZoneId{1}; })},
+                         {1},
+                         0,
+                         {0}},
+                    Case{"array_capped_by_zone_limit",
+                         {node(0, 8)},
+                         {with(demand(0, 5, 1, false), [](Demand& d) { d.zone_headroom = 3; })},
+                         {1},
+                         0,
+                         {3}},
+                    Case{"gang_over_zone_limit",
+                         {node(0, 8)},
+                         {with(demand(0, 5, 1, true), [](Demand& d) { d.zone_headroom = 3; })},
+                         {1},
+                         0,
+                         {0}}),
     [](const auto& info) {
       std::string name = info.param.name;
       std::replace(name.begin(), name.end(), ' ', '_');
       return name;
     });
 
-TEST(Place, PrefersTheMachineThatHasTheImage) {
+TEST(Place, PrefersMachineWithCachedImage) {
   auto cold = node(0, 4), warm = node(1, 4);
   warm.images.push_back(ImageId{7});
   auto d = demand(7, 1, 4, true);
@@ -141,18 +141,18 @@
   EXPECT_EQ(plan.placements[0].machine, MachineId{1});
 }
 
-// A replica is small and expected within seconds: it goes where its image is, or is fetched alone, and not
-// where one of its job runs already.
-TEST(Place, AReplicaGoesWhereItStartsSoonest) {
+// A replica should start within seconds: it is placed where its image is cached, or is fetched without
+// concurrent fetches, and not next to another replica of its service.
+TEST(Place, PrefersFastestStartForReplica) {
   auto busy = node(0, 4), alone = node(1, 4), warm = node(2, 4), mate = node(3, 4);
-  busy.fetching = 2;
+  busy.fetches_in_progress = 2;
   warm.images.push_back(ImageId{7});
   mate.images.push_back(ImageId{7});
   mate.replicas.push_back(JobId{7});
   auto d = demand(7, 1, 0, false);
   d.need = {1, 0, 4};
   d.image_gb = 1;
-  d.standing = true;
+  d.is_service = true;
   d.expected_run_s = jobs::kNoEnd;
   struct Case {
     std::vector<Node> nodes;
@@ -164,11 +164,11 @@
     ASSERT_EQ(plan.placements.size(), 1u);
     EXPECT_EQ(plan.placements[0].machine, c.chosen);
   }
-  // Room that is kept for a gang would not come back in time.
-  auto kept = alone;
-  kept.reserved_for = JobId{1};
-  kept.reserved_in_s = 1e9;
-  EXPECT_FALSE(open_to(d, kept));
+  // An endless replica would not free a machine that is reserved for a gang.
+  auto reserved = alone;
+  reserved.reserved_for = JobId{1};
+  reserved.reservation_starts_in_s = 1e9;
+  EXPECT_FALSE(respects_reservation(d, reserved));
 }
 
 struct PrecedenceCase {
@@ -176,8 +176,9 @@
   bool deferrable;
   int precedence;
 };
-// Priorities above normal go before the ranking, idle work takes part in it, and what has time goes last.
-TEST(Precedence, IsAPrioritysClaimBeforeTheWeight) {
+// Priorities above normal precede the ranking, idle jobs are ranked like normal ones, and deferrable jobs are
+// last.
+TEST(Precedence, FollowsPriorityAboveNormalAndDeferrable) {
   for (const auto& c : {PrecedenceCase{0, false, 1}, PrecedenceCase{1, false, 1}, PrecedenceCase{2, false, 2},
                         PrecedenceCase{3, false, 3}, PrecedenceCase{3, true, 0}}) {
     Demand d;
@@ -195,7 +196,7 @@
   std::vector<std::uint32_t> want;  // tasks by partition
 };
 class Distribute : public testing::TestWithParam<DistributeCase> {};
-TEST_P(Distribute, EveryTaskToSinglePartition) {
+TEST_P(Distribute, AssignsEachTaskToOnePartition) {
   const auto& c = GetParam();
   jobs::JobSpec spec;
   spec.tasks = c.tasks;
@@ -215,8 +216,8 @@
 PartitionCapacity room(std::uint32_t partition, double free, double backlog = 0, double capacity = 16) {
   return {PartitionId{partition}, ZoneId{partition}, true, free, backlog, capacity, false};
 }
-// No zone gets more replicas than it must while others have room.
-TEST(Distribute, ReplicasAreSpreadEvenly) {
+// An uneven spread would lose more replicas than necessary in a zone outage.
+TEST(Distribute, SpreadsReplicasEvenlyOverZones) {
   struct Case {
     std::uint32_t replicas;
     std::vector<PartitionCapacity> partitions;
@@ -237,11 +238,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table, Distribute,
-    testing::Values(DistributeCase{"gang to the roomiest", 2, true, false, {room(0, 1), room(1, 4)}, {0, 2}},
-                    DistributeCase{"array over free room", 6, false, false, {room(0, 4), room(1, 2)}, {4, 2}},
-                    DistributeCase{"backlog counts", 4, false, false, {room(0, 4, 4), room(1, 4)}, {0, 4}},
-                    DistributeCase{"spread halves", 5, false, true, {room(0, 9), room(1, 9)}, {3, 2}},
-                    DistributeCase{"nothing free", 4, false, false, {room(0, 0), room(1, 0)}, {2, 2}}),
+    testing::Values(
+        DistributeCase{
+            "gang_in_partition_with_most_free_capacity", 2, true, false, {room(0, 1), room(1, 4)}, {0, 2}},
+        DistributeCase{"array_by_free_capacity", 6, false, false, {room(0, 4), room(1, 2)}, {4, 2}},
+        DistributeCase{"backlog_reduces_free_capacity", 4, false, false, {room(0, 4, 4), room(1, 4)}, {0, 4}},
+        DistributeCase{"spread_over_two_zones", 5, false, true, {room(0, 9), room(1, 9)}, {3, 2}},
+        DistributeCase{
+            "by_total_capacity_if_none_is_free", 4, false, false, {room(0, 0), room(1, 0)}, {2, 2}}),
     [](const auto& info) {
       std::string name = info.param.name;
       std::replace(name.begin(), name.end(), ' ', '_');
--- a/tests/sched/preempt_test.cpp
+++ b/tests/sched/preempt_test.cpp
@@ -11,7 +11,7 @@
 using core::MachineId;
 using core::TeamId;
 
-Node full(std::uint32_t id) {
+Node full_node(std::uint32_t id) {
   Node n;
   n.id = MachineId{id};
   n.type = core::MachineTypeId{0};
@@ -30,7 +30,7 @@
   r.stop_cost_s = 10;
   return r;
 }
-Demand demand(int priority, std::uint32_t tasks, bool guaranteed = false) {
+Demand demand(int priority, std::uint32_t tasks, bool may_claim_guarantee = false) {
   Demand d;
   d.job = JobId{99};
   d.team = TeamId{0};
@@ -38,9 +38,9 @@
   d.need = {32, 4, 256};
   d.priority = priority;
   d.gang = true;
-  d.count = d.room_in_zone = tasks;
+  d.count = d.zone_headroom = tasks;
   for (std::uint32_t i = 0; i < tasks; ++i) d.tasks.push_back(i);
-  d.guaranteed = guaranteed;
+  d.may_claim_guarantee = may_claim_guarantee;
   return d;
 }
 RunningTask gang(RunningTask r) {
@@ -50,64 +50,66 @@
 
 struct Case {
   const char* name;
-  Demand d;
+  Demand unplaced;
   std::vector<RunningTask> running;
   std::vector<GuaranteeUsage> guarantees;
   std::vector<std::size_t> victims;
 };
 class Preempt : public testing::TestWithParam<Case> {};
-TEST_P(Preempt, Stops) {
+TEST_P(Preempt, SelectsExpectedVictims) {
   const auto& c = GetParam();
-  const auto out =
-      preempt({full(0), full(1)}, {c.d}, {0}, c.running, {TeamQuota{}, TeamQuota{}}, c.guarantees);
+  const auto out = preempt({full_node(0), full_node(1)}, {c.unplaced}, {0}, c.running,
+                           {TeamQuota{}, TeamQuota{}}, c.guarantees);
   std::vector<std::size_t> victims;
   if (!out.empty()) victims = out[0].victims;
   std::sort(victims.begin(), victims.end());
   EXPECT_EQ(victims, c.victims);
 }
-const GuaranteeUsage kIdle{{}, 0, 8};
-GuaranteeUsage uses(double gpus, double guarantee) { return {{gpus * 8, gpus, gpus * 64}, 0, guarantee}; }
+const GuaranteeUsage kUnusedGuarantee{{}, 0, 8};
+GuaranteeUsage team_usage(double gpus, double guarantee) {
+  return {{gpus * 8, gpus, gpus * 64}, 0, guarantee};
+}
 
 INSTANTIATE_TEST_SUITE_P(Table, Preempt,
-                         testing::Values(Case{"lower_priority_is_stopped",
+                         testing::Values(Case{"preempts_lower_priority",
                                               demand(2, 1),
                                               {running(1, 0, 1, 4), running(2, 1, 2, 4)},
-                                              {kIdle, uses(8, 8)},
+                                              {kUnusedGuarantee, team_usage(8, 8)},
                                               {0}},
-                                         Case{"equal_priority_is_not",
+                                         Case{"equal_priority_is_protected",
                                               demand(1, 1),
                                               {running(1, 0, 1, 4), running(2, 1, 1, 4)},
-                                              {kIdle, uses(8, 8)},
+                                              {kUnusedGuarantee, team_usage(8, 8)},
                                               {}},
-                                         Case{"idle_before_normal",
+                                         Case{"idle_is_preempted_before_normal",
                                               demand(2, 1),
                                               {running(1, 0, 1, 4), running(2, 1, 0, 4)},
-                                              {kIdle, uses(8, 8)},
+                                              {kUnusedGuarantee, team_usage(8, 8)},
                                               {1}},
-                                         Case{"gang_needs_all_its_places",
+                                         Case{"nothing_preempted_if_gang_cannot_fit",
                                               demand(2, 2),
                                               {running(1, 0, 1, 4), running(2, 1, 2, 4)},
-                                              {kIdle, uses(8, 8)},
+                                              {kUnusedGuarantee, team_usage(8, 8)},
                                               {}},
-                                         Case{"a_gang_goes_as_a_whole",
+                                         Case{"victim_gang_is_stopped_as_a_whole",
                                               demand(2, 1),
                                               {gang(running(1, 0, 1, 4)), gang(running(1, 1, 1, 4))},
-                                              {kIdle, uses(8, 8)},
+                                              {kUnusedGuarantee, team_usage(8, 8)},
                                               {0, 1}},
-                                         Case{"guarantee_stops_what_is_beyond_another's",
+                                         Case{"guaranteed_demand_preempts_team_over_its_guarantee",
                                               demand(1, 1, true),
                                               {running(1, 0, 1, 4), running(2, 1, 1, 4)},
-                                              {kIdle, uses(8, 4)},
+                                              {kUnusedGuarantee, team_usage(8, 4)},
                                               {0}},
-                                         Case{"guarantee_leaves_guarantees_alone",
+                                         Case{"usage_within_another_guarantee_is_protected",
                                               demand(1, 2, true),
                                               {running(1, 0, 1, 4), running(2, 1, 1, 4)},
-                                              {kIdle, uses(8, 4)},
+                                              {kUnusedGuarantee, team_usage(8, 4)},
                                               {}},
-                                         Case{"without_guarantee_no_claim",
+                                         Case{"no_preemption_without_guarantee",
                                               demand(1, 1, false),
                                               {running(1, 0, 1, 4)},
-                                              {kIdle, uses(8, 0)},
+                                              {kUnusedGuarantee, team_usage(8, 0)},
                                               {}}),
                          [](const auto& info) {
                            std::string name = info.param.name;
@@ -115,53 +117,52 @@
                            return name;
                          });
 
-TEST(PreemptReservation, LeavesOthersReservationsAlone) {
-  auto n = full(0);
+TEST(PreemptReservation, SkipsMachinesReservedForOtherJobs) {
+  auto n = full_node(0);
   n.reserved_for = JobId{50};
-  EXPECT_TRUE(
-      preempt({n}, {demand(2, 1)}, {0}, {running(1, 0, 0, 4)}, {TeamQuota{}, TeamQuota{}}, {kIdle, kIdle})
-          .empty());
+  EXPECT_TRUE(preempt({n}, {demand(2, 1)}, {0}, {running(1, 0, 0, 4)}, {TeamQuota{}, TeamQuota{}},
+                      {kUnusedGuarantee, kUnusedGuarantee})
+                  .empty());
 }
 
-// A gang of two whole machines, while small tasks run on each and more of them wait all the time.
+// A gang needs two whole machines; a task runs on each of three machines.
 struct ReservationCase {
   const char* name;
   double waited_s;
-  std::size_t most;
+  std::size_t max_machines;
   std::size_t machines;
 };
 class GangReservation : public testing::TestWithParam<ReservationCase> {};
-TEST_P(GangReservation, KeepsRoomForAGangThatWaits) {
+TEST_P(GangReservation, ReservesMachinesAfterMinimumWait) {
   const auto& c = GetParam();
   auto d = demand(1, 2);
   d.waited_s = c.waited_s;
   auto small = running(1, 0, 1, 4), later = running(2, 1, 1, 4), last = running(3, 2, 1, 4);
   small.remaining_s = 10, later.remaining_s = 20, last.remaining_s = 300;
-  const auto out = reserve_for_gangs({full(0), full(1), full(2)}, {d}, {0}, {small, later, last},
-                                     {TeamQuota{}, TeamQuota{}}, 10, c.most);
+  const auto out = reserve_for_gangs({full_node(0), full_node(1), full_node(2)}, {d}, {0},
+                                     {small, later, last}, {TeamQuota{}, TeamQuota{}}, 10, c.max_machines);
   EXPECT_EQ(out.empty() ? 0 : out[0].machines.size(), c.machines);
   if (!out.empty()) {
-    EXPECT_DOUBLE_EQ(out[0].ready_in_s, 20) << "on the machines that are free first";
+    EXPECT_DOUBLE_EQ(out[0].ready_in_s, 20) << "on the machines that are expected to be free first";
   }
 }
-INSTANTIATE_TEST_SUITE_P(
-    Table, GangReservation,
-    testing::Values(ReservationCase{"not_yet", 5, 2, 0}, ReservationCase{"long_enough", 30, 2, 2},
-                    ReservationCase{"the_oldest_may_even_in_a_small_partition", 30, 1, 2}),
-    [](const auto& info) { return std::string(info.param.name); });
+INSTANTIATE_TEST_SUITE_P(Table, GangReservation,
+                         testing::Values(ReservationCase{"no_reservation_before_minimum_wait", 5, 2, 0},
+                                         ReservationCase{"reservation_after_minimum_wait", 30, 2, 2},
+                                         ReservationCase{"first_gang_may_exceed_machine_limit", 30, 1, 2}),
+                         [](const auto& info) { return std::string(info.param.name); });
 
-// Small jobs come without end and each takes what comes free: the gang begins only because room is kept for
-// it.
-TEST(GangReservations, LargestGangBeginsUnderAStreamOfSmallOnes) {
-  for (const bool kept : {true, false}) {
-    auto free_gpus = std::vector<double>{0, 0};  // of two machines, all taken by tasks of one accelerator
+// A steady stream of small jobs takes all freed resources. Without a reservation the gang never starts.
+TEST(GangReservations, StartGangUnderStreamOfSmallJobs) {
+  for (const bool with_reservations : {true, false}) {
+    auto free_gpus = std::vector<double>{0, 0};  // by machine; one-accelerator tasks use all
     std::vector<std::vector<double>> ends{{1, 2, 3, 4}, {1.5, 2.5, 3.5, 4.5}};
     core::JobId reserved[2];
-    bool began = false;
-    for (double t = 0; t < 60 && !began; t += 0.5) {
+    bool started = false;
+    for (double t = 0; t < 60 && !started; t += 0.5) {
       for (std::size_t m = 0; m < 2; ++m)
         free_gpus[m] += static_cast<double>(std::erase_if(ends[m], [&](double e) { return e <= t; }));
-      std::vector<Node> nodes{full(0), full(1)};
+      std::vector<Node> nodes{full_node(0), full_node(1)};
       std::vector<RunningTask> busy;
       for (std::uint32_t m = 0; m < 2; ++m) {
         nodes[m].free = {free_gpus[m] * 8, free_gpus[m], free_gpus[m] * 64};
@@ -183,7 +184,7 @@
       first.weight = 2;
       const auto plan = place(nodes, {small, gang_job}, {first, second}, {TeamQuota{}, TeamQuota{}});
       for (const auto& p : plan.placements) {
-        began = began || p.demand == 1;
+        started = started || p.demand == 1;
         if (p.demand == 0) {
           free_gpus[p.machine.index] -= 1;
           ends[p.machine.index].push_back(t + 4);
@@ -192,23 +193,24 @@
           busy.push_back(r);
         }
       }
-      if (!kept) continue;
+      if (!with_reservations) continue;
       for (const auto& g :
-           reserve_for_gangs(plan.nodes, {small, gang_job}, plan.unplaced, busy, plan.teams, 10, 1))
+           reserve_for_gangs(plan.nodes, {small, gang_job}, plan.unplaced, busy, plan.team_quotas, 10, 1))
         for (const auto m : g.machines) reserved[m.index] = gang_job.job;
     }
-    EXPECT_EQ(began, kept);
+    EXPECT_EQ(started, with_reservations);
   }
 }
 
-// Room that replicas take never comes free by itself: no gang is kept waiting for it.
-TEST(GangReservations, DoesNotWaitForReplicas) {
+// Replicas never free their resources by themselves, so a reservation of their machines would never
+// be used.
+TEST(GangReservations, SkipMachinesUsedByReplicas) {
   for (const bool endless : {false, true}) {
     auto d = demand(1, 1);
     d.waited_s = 60;
     auto r = running(1, 0, 3, 4);
     r.remaining_s = endless ? jobs::kNoEnd : 30;
-    auto n = full(0);
+    auto n = full_node(0);
     n.free = {};
     EXPECT_EQ(reserve_for_gangs({n}, {d}, {0}, {r}, {TeamQuota{}, TeamQuota{}}, 10, 1).size(),
               endless ? 0u : 1u);
@@ -223,24 +225,26 @@
   int victim_priority;
   std::size_t stopped;
 };
-class Claims : public testing::TestWithParam<ClaimCase> {};
-// One strict order: whoever is stopped for a job could never have that job stopped in turn.
-TEST_P(Claims, AreInOneStrictOrder) {
+class PreemptionOrder : public testing::TestWithParam<ClaimCase> {};
+// Without a strict order, two jobs could preempt each other in turn.
+TEST_P(PreemptionOrder, IsStrict) {
   const auto& c = GetParam();
   auto d = demand(c.demand_priority, 1, c.demand_within);
-  d.within = c.demand_within;
+  d.within_guarantee = c.demand_within;
   auto victim = running(1, 0, c.victim_priority, 4);
-  victim.within = c.victim_within;
-  const auto out = preempt({full(0)}, {d}, {0}, {victim}, {TeamQuota{}, TeamQuota{}}, {kIdle, uses(20, 8)});
+  victim.within_guarantee = c.victim_within;
+  const auto out = preempt({full_node(0)}, {d}, {0}, {victim}, {TeamQuota{}, TeamQuota{}},
+                           {kUnusedGuarantee, team_usage(20, 8)});
   EXPECT_EQ(out.empty() ? 0 : out[0].victims.size(), c.stopped);
 }
-INSTANTIATE_TEST_SUITE_P(Table, Claims,
-                         testing::Values(ClaimCase{"high_stops_idle", false, 2, false, 0, 1},
-                                         ClaimCase{"high_beyond_leaves_idle_within", false, 2, true, 0, 0},
-                                         ClaimCase{"idle_within_stops_high_beyond", true, 0, false, 2, 1},
-                                         ClaimCase{"high_within_stops_idle_within", true, 2, true, 0, 1},
-                                         ClaimCase{"idle_within_leaves_high_within", true, 0, true, 2, 0}),
-                         [](const auto& info) { return std::string(info.param.name); });
+INSTANTIATE_TEST_SUITE_P(
+    Table, PreemptionOrder,
+    testing::Values(ClaimCase{"high_preempts_idle", false, 2, false, 0, 1},
+                    ClaimCase{"high_over_guarantee_does_not_preempt_idle_within", false, 2, true, 0, 0},
+                    ClaimCase{"idle_within_guarantee_preempts_high_over", true, 0, false, 2, 1},
+                    ClaimCase{"high_within_guarantee_preempts_idle_within", true, 2, true, 0, 1},
+                    ClaimCase{"idle_within_guarantee_does_not_preempt_high_within", true, 0, true, 2, 0}),
+    [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
 }  // namespace finchrun::sched
--- a/tests/sched/rank_test.cpp
+++ b/tests/sched/rank_test.cpp
@@ -10,13 +10,13 @@
 using core::ImageId;
 using core::TeamId;
 
-// Worked by hand from the paper's equations 4 to 8. The queue has 6 tasks:
+// Calculated by hand from the paper's equations 4 to 8. The queue has 6 tasks:
 //   3 of team 0 on image 0 with 4 cores, 1 of team 1 on image 1 with 8 cores, 2 of team 1 on image 2 with 2
 //   cores.
-// Grouping: the fullest image has 3. 3/3*100/6, 3/1*100/6, 3/2*100/6 = 16.667, 50, 25.
-// Size: most cores 8. Raw 8/4=2 (three times), 8/8=1, 8/2=4 (twice); their sum is 15.
-// So 13.333, 6.667, 26.667. Usage: decayed 30 and 10 core-seconds: 75 and 25.
-TEST(Rank, CostsAreThePapers) {
+// Grouping: the image with most tasks has 3. 3/3*100/6, 3/1*100/6, 3/2*100/6 = 16.667, 50, 25.
+// Size: the largest task has 8 cores. Unscaled 8/4=2 (three times), 8/8=1, 8/2=4 (twice); the sum is 15.
+// Scaled: 13.333, 6.667, 26.667. Usage: 30 and 10 decayed core-seconds, hence 75 and 25.
+TEST(Rank, CostsMatchThePaper) {
   const std::vector<QueuedTasks> queue{
       {TeamId{0}, ImageId{0}, 4, 3}, {TeamId{1}, ImageId{1}, 8, 1}, {TeamId{1}, ImageId{2}, 2, 2}};
   const auto c = rank(queue, {2, 1}, {30, 10}, {0.5, 0.2, 0.3});
@@ -35,14 +35,14 @@
   }
 }
 
-TEST(Rank, SharesScaleTheWeightAndNoUsageCostsNothing) {
+TEST(Rank, WeightIsProportionalToSharesAndUsageCostIsZeroWithoutUsage) {
   const std::vector<QueuedTasks> queue{{TeamId{0}, ImageId{0}, 4, 1}, {TeamId{1}, ImageId{0}, 4, 1}};
   const auto c = rank(queue, {3, 1}, {0, 0}, {0.3, 0.1, 0.6});
   EXPECT_DOUBLE_EQ(c[0].usage, 0);
   EXPECT_NEAR(c[0].weight / c[1].weight, 3, 1e-9);
 }
 
-TEST(Rank, TaskWithoutCoresAndEmptyQueueAreNoTrouble) {
+TEST(Rank, HandlesEmptyQueueAndTaskWithoutCores) {
   EXPECT_TRUE(rank({}, {1}, {0}, {}).empty());
   const auto c = rank({{TeamId{0}, ImageId{0}, 0, 1}}, {1}, {0}, {});
   EXPECT_TRUE(std::isfinite(c[0].weight));
--- a/tests/scheduling/partition_writer_test.cpp
+++ b/tests/scheduling/partition_writer_test.cpp
@@ -5,12 +5,13 @@
 namespace finchrun::scheduling {
 namespace {
 
-// Three of five controllers lead partitions. Together they may write a little more than there is.
-TEST(ShareOfWrites, LeadersShareAllAndTheOthersAQuarter) {
-  EXPECT_DOUBLE_EQ(share_of_writes(3, 5, true), 1.0 / 3);
-  EXPECT_DOUBLE_EQ(share_of_writes(3, 5, false), 0.125);
-  EXPECT_DOUBLE_EQ(share_of_writes(5, 5, false), 0.25) << "one that the settings don't name";
-  EXPECT_DOUBLE_EQ(share_of_writes(0, 5, false), 0.05) << "nobody leads yet";
+// Three of five controllers lead partitions. The shares add up to more than 1, since controllers seldom
+// use all of them.
+TEST(WriteShare, LeadersShareAllAndOthersShareAQuarter) {
+  EXPECT_DOUBLE_EQ(write_share(3, 5, true), 1.0 / 3);
+  EXPECT_DOUBLE_EQ(write_share(3, 5, false), 0.125);
+  EXPECT_DOUBLE_EQ(write_share(5, 5, false), 0.25) << "a controller that is not in the settings";
+  EXPECT_DOUBLE_EQ(write_share(0, 5, false), 0.05) << "no partition has a leader yet";
 }
 
 }  // namespace
--- a/tests/scheduling/preemption_test.cpp
+++ b/tests/scheduling/preemption_test.cpp
@@ -29,7 +29,7 @@
   double stop_cost_s, remaining_s;
 };
 class TaskCost : public testing::TestWithParam<CostCase> {};
-TEST_P(TaskCost, IsWhatIsLostAndHowLongItWouldGoOn) {
+TEST_P(TaskCost, MatchesLostWorkAndRemainingRunTime) {
   const auto& c = GetParam();
   EXPECT_DOUBLE_EQ(stop_cost_s(c.spec, c.ran_s), c.stop_cost_s);
   EXPECT_DOUBLE_EQ(remaining_s(c.spec, c.ran_s), c.remaining_s);
@@ -37,16 +37,17 @@
 using jobs::Shape;
 INSTANTIATE_TEST_SUITE_P(
     Table, TaskCost,
-    testing::Values(CostCase{"loses_all_that_it_has_run", spec(Shape::array, 0, 0, 600), 200, 200, 400},
-                    CostCase{"saves_its_progress", spec(Shape::array, 60, 8, 600), 200, 13, 400},
-                    CostCase{"young_tasks_cost_more", spec(Shape::array, 0, 0, 600), 10, 30, 590},
-                    CostCase{"longer_than_expected", spec(Shape::gang, 60, 8, 600), 900, 13, 61},
-                    CostCase{"replica_leaves_a_gap", spec(Shape::standing, 0, 0, jobs::kNoEnd), 9000, 30,
-                             jobs::kNoEnd}),
+    testing::Values(
+        CostCase{"without_checkpoint_loses_all_work", spec(Shape::array, 0, 0, 600), 200, 200, 400},
+        CostCase{"with_checkpoint_loses_restart_time", spec(Shape::array, 60, 8, 600), 200, 13, 400},
+        CostCase{"recently_started_costs_more", spec(Shape::array, 0, 0, 600), 10, 30, 590},
+        CostCase{"running_longer_than_expected", spec(Shape::gang, 60, 8, 600), 900, 13, 61},
+        CostCase{"replica_costs_restart_gap", spec(Shape::standing, 0, 0, jobs::kNoEnd), 9000, 30,
+                 jobs::kNoEnd}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// A heartbeat every 3 s: 10 s beside the time to save.
-TEST(MustEvict, LeavesTimeToSave) {
+// A stop takes 10 s with heartbeats every 3 s, in addition to the time to save a checkpoint.
+TEST(MustEvict, LeavesTimeToSaveCheckpoint) {
   const auto saves = spec(Shape::array, 60, 20, 600), does_not = spec(Shape::array, 0, 0, 600);
   EXPECT_FALSE(must_evict(30.1, saves, 3));
   EXPECT_TRUE(must_evict(30, saves, 3));
@@ -65,7 +66,7 @@
   SinglePartition deployment;
 };
 
-TEST_F(Running, TasksThatStopOrHaveEndedAreNotPreemptedAgain) {
+TEST_F(Running, TasksBeingStoppedOrEndedCannotBePreempted) {
   auto& state = deployment.state;
   const auto job = deployment.job("req-1", 4, Shape::array);
   place(job, 4, 9);
@@ -74,13 +75,13 @@
   std::set<std::uint32_t> tasks;
   for (const auto& task : running_tasks(state, deployment.partition, {job}, kNow)) {
     tasks.insert(task.task);
-    EXPECT_TRUE(task.within);
+    EXPECT_TRUE(task.within_guarantee);
   }
   EXPECT_EQ(tasks, (std::set<std::uint32_t>{0, 3}));
 }
 
-// One machine is reclaimed: an array loses the task there, a gang leaves all its machines.
-TEST_F(Running, GangLeavesReclaimedMachineAsAWhole) {
+// Of an array only the task on the reclaimed machine is evicted.
+TEST_F(Running, GangIsEvictedAsAWholeFromReclaimedMachine) {
   auto& state = deployment.state;
   const auto array = deployment.job("req-1", 3, Shape::array), gang = deployment.job("req-2", 3, Shape::gang);
   place(array, 3, 9);
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -13,7 +13,7 @@
 
 const core::TimePoint kNow(core::secs(1000));
 
-// Zones a and b with one partition each, of which a.0 is ours. One job of six tasks: three in each partition.
+// Zones a and b have one partition each; a.0 is led here. A job has six tasks, three in each partition.
 struct TwoZones : testing::Test {
   static config::Settings settings() {
     auto settings = assignments::single_partition_settings();
@@ -29,7 +29,7 @@
     record.spec.tasks = 6;
     record.spec.one_zone = one_zone;
     record.spec.spread = spread;
-    record.ranges = {{0, 3, ours}, {3, 6, other}};
+    record.ranges = {{0, 3, own}, {3, 6, other}};
     state.cache.apply({"jobs/req-1", jobs::to_json(record, state.names), ++deployment.revision});
     return *state.names.jobs.find("req-1");
   }
@@ -41,49 +41,49 @@
     deployment.apply(transaction);
   }
   std::optional<sched::Demand> demand(core::JobId job) {
-    return demand_of(state, job, ours, WaitingTasks(state.cache, job));
+    return make_demand(state, job, own, WaitingTasks(state.cache, job));
   }
   SinglePartition deployment{settings()};
   controller::ControllerState& state = deployment.state;
-  core::PartitionId ours{0}, other{1};
+  core::PartitionId own{0}, other{1};
 };
 
-TEST_F(TwoZones, ArrayWaitsInEachPartitionForTheTasksOfItsRange) {
+TEST_F(TwoZones, ArrayDemandHasOnlyTasksOfThePartition) {
   const auto id = job(jobs::Shape::array, false, false);
-  place(id, ours, 0);
+  place(id, own, 0);
   const auto found = demand(id);
   ASSERT_TRUE(found);
   EXPECT_EQ(found->tasks, (std::vector<std::uint32_t>{1, 2}));
   EXPECT_EQ(found->count, 2u);
-  EXPECT_EQ(found->room_in_zone, 5u);
+  EXPECT_EQ(found->zone_headroom, 5u);
 }
 
-// `spread`: half of the six tasks may be in one zone, rounded up.
-TEST_F(TwoZones, SpreadJobMayUseHalfOfItsTasksInOneZone) {
+// `spread`: half of the six tasks, rounded up, may run in one zone.
+TEST_F(TwoZones, SpreadJobRunsHalfOfItsTasksInOneZone) {
   const auto id = job(jobs::Shape::array, false, true);
-  EXPECT_EQ(room_in_zone(state, id, ours), 3u);
-  place(id, ours, 0);
-  EXPECT_EQ(room_in_zone(state, id, ours), 2u);
+  EXPECT_EQ(zone_headroom(state, id, own), 3u);
+  place(id, own, 0);
+  EXPECT_EQ(zone_headroom(state, id, own), 2u);
   place(id, other, 3);
-  EXPECT_EQ(room_in_zone(state, id, ours), 2u);
+  EXPECT_EQ(zone_headroom(state, id, own), 2u);
 }
 
-TEST_F(TwoZones, JobOfOneZoneWaitsWhileATaskMayRunInAnother) {
+TEST_F(TwoZones, SingleZoneJobWaitsWhileTaskMayRunInAnotherZone) {
   const auto id = job(jobs::Shape::array, true, false);
-  EXPECT_EQ(room_in_zone(state, id, ours), 6u);
+  EXPECT_EQ(zone_headroom(state, id, own), 6u);
   place(id, other, 3);
-  EXPECT_EQ(room_in_zone(state, id, ours), 0u);
-  EXPECT_EQ(room_in_zone(state, id, other), 5u);
+  EXPECT_EQ(zone_headroom(state, id, own), 0u);
+  EXPECT_EQ(zone_headroom(state, id, other), 5u);
 }
 
-TEST_F(TwoZones, GangWaitsUntilItsEarlierAttemptIsGoneEverywhere) {
+TEST_F(TwoZones, GangWaitsUntilEarlierAttemptHasEndedInAllPartitions) {
   const auto gang = deployment.job("req-2", 2, jobs::Shape::gang);
   EXPECT_EQ(demand(gang)->tasks.size(), 2u);
   place(gang, other, 1);
   EXPECT_FALSE(demand(gang));
 }
 
-TEST(LimitInPartition, OfALimitedTeamIsNeverNone) {
+TEST(LimitInPartition, IsNeverUnlimitedForLimitedTeam) {
   EXPECT_DOUBLE_EQ(limit_in_partition(0, 0), 0);
   EXPECT_DOUBLE_EQ(limit_in_partition(8, 2), 2);
   EXPECT_GT(limit_in_partition(8, 0), 0);
@@ -95,20 +95,20 @@
   type.size = {32, 4, 256};
   auto& machine = state.fleet.intern(state.names, "host-1");
   const auto id = job(jobs::Shape::standing, false, false);
-  place(id, ours, 0);
+  place(id, own, 0);
   machine.cordoned_until = kNow + core::secs(1);
   machine.reserved_for = core::JobId{9};
   machine.reserved_ready = kNow + core::secs(7);
   machine.reserved_until = kNow + core::secs(20);
-  const auto before = node_of(state, machine, type, kNow);
-  EXPECT_EQ(before.fetching, 1u);
+  const auto before = make_node(state, machine, type, kNow);
+  EXPECT_EQ(before.fetches_in_progress, 1u);
   EXPECT_EQ(before.replicas, (std::vector<core::JobId>{id}));
   EXPECT_EQ(before.reserved_for, core::JobId{9});
-  EXPECT_DOUBLE_EQ(before.reserved_in_s, 7);
-  EXPECT_GT(before.risk_s, 0);
-  const auto later = node_of(state, machine, type, kNow + core::secs(20));
+  EXPECT_DOUBLE_EQ(before.reservation_starts_in_s, 7);
+  EXPECT_GT(before.start_delay_s, 0);
+  const auto later = make_node(state, machine, type, kNow + core::secs(20));
   EXPECT_FALSE(later.reserved_for.valid());
-  EXPECT_DOUBLE_EQ(later.risk_s, 0);
+  EXPECT_DOUBLE_EQ(later.start_delay_s, 0);
 }
 
 struct DecidesCase {
@@ -119,7 +119,7 @@
   bool decides;
 };
 class RoundDecides : public testing::TestWithParam<DecidesCase> {};
-TEST_P(RoundDecides, OnlyOnWhatItKnowsToBeFresh) {
+TEST_P(RoundDecides, OnlyWithFreshStateAndLeadership) {
   const auto& c = GetParam();
   SinglePartition deployment;
   auto& state = deployment.state;
--- a/tests/scheduling/waiting_tasks_test.cpp
+++ b/tests/scheduling/waiting_tasks_test.cpp
@@ -39,35 +39,35 @@
   return run;
 }
 
-TEST(WaitingTasks, AreNeitherDoneNorPlacedInWhateverPartition) {
+TEST(WaitingTasks, AreNeitherDoneNorPlacedInAnyPartition) {
   Records records(jobs::Shape::array);
   records.record("a.0/s1", placed_and_done(records, 0, 2));
-  // A task that was moved to the other partition may still be on a machine of this one.
+  // A task that was moved to the first partition may still run on a machine of the second one.
   records.record("a.1/s1", placed_and_done(records, 4, 7));
   const WaitingTasks waiting(records.cache, records.job);
-  EXPECT_TRUE(waiting.any());
+  EXPECT_TRUE(waiting.has_waiting());
   EXPECT_EQ(waiting.count(kFirst), 3u);
-  EXPECT_EQ(waiting.first(kFirst, 100), (std::vector<std::uint32_t>{1, 3, 5}));
-  EXPECT_EQ(waiting.first(kFirst, 2), (std::vector<std::uint32_t>{1, 3}));
-  EXPECT_EQ(waiting.first(kSecond, 100), (std::vector<std::uint32_t>{6, 8, 9}));
+  EXPECT_EQ(waiting.first_tasks(kFirst, 100), (std::vector<std::uint32_t>{1, 3, 5}));
+  EXPECT_EQ(waiting.first_tasks(kFirst, 2), (std::vector<std::uint32_t>{1, 3}));
+  EXPECT_EQ(waiting.first_tasks(kSecond, 100), (std::vector<std::uint32_t>{6, 8, 9}));
 }
 
-TEST(WaitingTasks, ReplicaThatHasEndedRunsAgain) {
+TEST(WaitingTasks, EndedReplicaWaitsAgain) {
   Records records(jobs::Shape::standing);
   records.record("a.0/s1", placed_and_done(records, 0, 2));
-  EXPECT_EQ(WaitingTasks(records.cache, records.job).first(kFirst, 100),
+  EXPECT_EQ(WaitingTasks(records.cache, records.job).first_tasks(kFirst, 100),
             (std::vector<std::uint32_t>{1, 2, 3, 4, 5}));
 }
 
-TEST(WaitingTasks, NoneWhenAllAreDone) {
+TEST(WaitingTasks, NoneIfAllAreDone) {
   Records records(jobs::Shape::array);
   jobs::JobAssignments run;
   run.done.add(0, 10);
   records.record("a.0/s1", run);
   const WaitingTasks waiting(records.cache, records.job);
-  EXPECT_FALSE(waiting.any());
+  EXPECT_FALSE(waiting.has_waiting());
   EXPECT_EQ(waiting.count(kFirst), 0u);
-  EXPECT_TRUE(waiting.first(kFirst, 100).empty());
+  EXPECT_TRUE(waiting.first_tasks(kFirst, 100).empty());
 }
 
 }  // namespace
