--- a/src/agent/fleet.cpp
+++ b/src/agent/fleet.cpp
@@ -2,7 +2,7 @@
 
 namespace finchrun::agent {
 
-Machine& Fleet::intern(jobs::Names& names, const std::string& name) {
+Machine& Fleet::find_or_add(jobs::Names& names, const std::string& name) {
   const auto id = names.machines.intern(name);
   const auto [entry, is_new] = machines_.try_emplace(id);
   auto& machine = entry->second;
@@ -13,8 +13,8 @@
   return machine;
 }
 
-Machine& Fleet::see(jobs::Names& names, const std::string& name, core::TimePoint now) {
-  auto& machine = intern(names, name);
+Machine& Fleet::mark_seen(jobs::Names& names, const std::string& name, core::TimePoint now) {
+  auto& machine = find_or_add(names, name);
   if (machine.first_seen == core::TimePoint{}) machine.first_seen = now;
   return machine;
 }
@@ -35,8 +35,8 @@
   return nullptr;
 }
 
-bool Fleet::ended(core::JobId job, core::PartitionId partition,
-                  const jobs::TaskAssignment& assignment) const {
+bool Fleet::has_ended(core::JobId job, core::PartitionId partition,
+                      const jobs::TaskAssignment& assignment) const {
   ObservedExit observed_exit{job, partition, assignment.task, assignment.attempt, false};
   if (observed_exits.contains(observed_exit)) return true;
   observed_exit.done = true;
@@ -45,7 +45,7 @@
 
 bool Fleet::was_deleted(const jobs::Names& names, const std::string& name) const {
   const auto id = names.machines.find(name);
-  return id && deleted.contains(*id);
+  return id && deleted_machines.contains(*id);
 }
 
 }  // namespace finchrun::agent
--- a/src/agent/heartbeat_handler.cpp
+++ b/src/agent/heartbeat_handler.cpp
@@ -13,7 +13,7 @@
 using wire::TaskState;
 using wire::TaskStatus;
 
-constexpr std::size_t kJobsFailedUntilQuarantine = 2;
+constexpr std::size_t kFailedJobsUntilQuarantine = 2;
 constexpr double kCordonAfterFailureS = 20;
 constexpr double kCordonWithoutRoomS = 2;
 
@@ -25,15 +25,15 @@
       return "done";
     case ExitCause::stopped:
       return "stopped";
-    case ExitCause::peers:
+    case ExitCause::gang_peer_ended:
       return "gang_peer_ended";
-    case ExitCause::alone:
+    case ExitCause::gang_peers_missing:
       return "gang_peers_missing";
     case ExitCause::error:
       return "error";
     case ExitCause::no_room:
       return "no_room";
-    case ExitCause::busy:
+    case ExitCause::other_attempt_present:
       return "busy";
     case ExitCause::unknown:
       return "unknown";
@@ -41,16 +41,16 @@
   return "unknown";
 }
 
-TaskAttempt start_of(const MachineAssignment& item) {
+TaskAttempt attempt_of(const MachineAssignment& item) {
   return {item.job, item.assignment.task, item.assignment.attempt};
 }
 
-/// The end of the assigned attempt, not completed.
+/// An exit of the assigned attempt without completion.
 ObservedExit exit_of(const MachineAssignment& item) {
   return {item.job, item.partition, item.assignment.task, item.assignment.attempt, false};
 }
 
-/// The task is recorded as completed, in whatever partition. Replicas of a service never are.
+/// True if the task is recorded as completed in any partition. Replicas of a service never are.
 bool is_done(const state::StateCache& cache, const jobs::JobRecord& job, core::JobId id, std::uint32_t task) {
   if (job.spec.standing()) return false;
   bool done = false;
@@ -60,7 +60,7 @@
   return done;
 }
 
-/// One heartbeat, step by step.
+/// Handles one heartbeat.
 class HeartbeatHandler {
  public:
   HeartbeatHandler(const HeartbeatContext& context, Machine& machine, const wire::Heartbeat& heartbeat)
@@ -70,13 +70,13 @@
         recorded_(heartbeat.tasks.size(), false) {}
 
   HeartbeatResult handle() && {
-    // Rule 4: only the newest (incarnation, sequence) counts.
+    // Rule 4: only messages with a newer (incarnation, sequence) count.
     if (machine_.is_outdated(heartbeat_.agent_incarnation, heartbeat_.sequence)) {
       result_.kind = HeartbeatResult::Kind::outdated;
       return std::move(result_);
     }
     if (heartbeat_.fencing_token > context_.fencing_token) {
-      result_.kind = HeartbeatResult::Kind::deposed;
+      result_.kind = HeartbeatResult::Kind::superseded;
       return std::move(result_);
     }
     update_reachability();
@@ -95,23 +95,23 @@
   }
 
  private:
-  /// What the heartbeat shows of the way from us to the agent. Looks at the newest heartbeat before this one.
+  /// Updates whether the agent receives messages of this controller. Compares with the previous heartbeat.
   void update_reachability() {
     if (machine_.has_heartbeat && heartbeat_.agent_incarnation > machine_.agent_incarnation) {
-      machine_.images.clear();
-      // Its lease ran out although its heartbeats came: what we answer may not reach it.
+      machine_.cached_images.clear();
+      // The agent's lease expired although its heartbeats arrived, so the answers may not reach it.
       machine_.mark_unreachable(context_.now);
     }
-    if (has_outlived_lease()) machine_.heard();
-    // Nobody but us gives out this fencing token.
+    if (has_outlived_lease()) machine_.mark_reachable();
+    // Only this controller sends this fencing token.
     if (machine_.has_heartbeat && heartbeat_.fencing_token > machine_.fencing_token && is_trusted())
-      machine_.heard();
+      machine_.mark_reachable();
   }
 
-  /// An incarnation that outlives a lease has had an answer that the agent accepted.
+  /// True if the incarnation has lasted longer than a lease, so that the agent must have received an answer.
   [[nodiscard]] bool has_outlived_lease() const {
     const double lease_with_drift_s = context_.lease_s * 1.05 + 1;
-    return machine_.unreachable() && heartbeat_.agent_incarnation == machine_.agent_incarnation &&
+    return machine_.is_unreachable() && heartbeat_.agent_incarnation == machine_.agent_incarnation &&
            core::since(machine_.unreachable_in_incarnation, context_.now) > lease_with_drift_s;
   }
 
@@ -120,15 +120,15 @@
     machine_.agent_incarnation = heartbeat_.agent_incarnation;
     machine_.sequence = heartbeat_.sequence;
     machine_.fencing_token = heartbeat_.fencing_token;
-    // An answer to a command of ours does not say that its agent reaches us: one that can't loses its lease,
-    // and with it whatever is placed there.
-    if (!context_.direct) machine_.last_heartbeat = context_.now;
+    // An answer to a direct command doesn't show that the agent can reach this controller. An agent that
+    // can't loses its lease, and with it every task placed there.
+    if (!context_.is_direct_answer) machine_.last_heartbeat = context_.now;
     machine_.endpoint = heartbeat_.endpoint;
     machine_.termination_notice_s = heartbeat_.termination_notice_s;
   }
 
   void handle_assignment(const MachineAssignment& item) {
-    // Rule 3: a later incarnation of the agent has none of the earlier one's tasks.
+    // Rule 3: a later incarnation of the agent holds no task of an earlier one.
     if (item.assignment.agent_incarnation < heartbeat_.agent_incarnation) return observe_exit(exit_of(item));
     const auto* job = context_.cache.job(item.job);
     const bool live = job && job->status == jobs::Status::live;
@@ -139,12 +139,12 @@
       return handle_exit(item, *status, live && job->spec.standing());
     const bool unwanted = is_unwanted(item, live ? job : nullptr);
     if (!status) return handle_missing(item, unwanted);
-    if (context_.fleet.confirmed_starts.try_emplace(start_of(item), context_.now).second && is_trusted())
-      machine_.heard();
+    if (context_.fleet.confirmed_starts.try_emplace(attempt_of(item), context_.now).second && is_trusted())
+      machine_.mark_reachable();
     if (unwanted) stop(item, *status, live);
   }
 
-  /// What the heartbeat says of the assigned attempt; nothing if it does not name it.
+  /// The status of the assigned attempt; null if the heartbeat does not name it.
   const TaskStatus* status_of(const MachineAssignment& item) {
     const auto& job_name = context_.names.jobs.name(item.job);
     const auto found =
@@ -162,33 +162,34 @@
     machine_.use_image(spec.image, spec.image_gb, type ? std::optional(type->cache_gb) : std::nullopt);
   }
 
-  /// The task should not run there: its job (nothing: it is over) or its gang's attempt is over, it is
-  /// preempted, or it is recorded as done.
+  /// True if the task should not run: it is preempted or recorded as done, its gang's attempt is broken, or
+  /// its job is over (`job` is null).
   [[nodiscard]] bool is_unwanted(const MachineAssignment& item, const jobs::JobRecord* job) const {
-    return !job || context_.fleet.preempting.contains(start_of(item)) ||
-           gang_broken(*job, context_.cache, context_.fleet, item.job) ||
+    return !job || context_.fleet.preempting.contains(attempt_of(item)) ||
+           is_gang_broken(*job, context_.cache, context_.fleet, item.job) ||
            is_done(context_.cache, *job, item.job, item.assignment.task);
   }
 
-  /// Rule 3: the heartbeat shows the task's end.
+  /// Rule 3: the heartbeat shows that the task has ended.
   void handle_exit(const MachineAssignment& item, const TaskStatus& status, bool is_replica) {
     auto observed_exit = exit_of(item);
-    // A replica that ends in whatever way runs again.
+    // A replica runs again, whatever the cause of its end.
     observed_exit.done = status.cause == ExitCause::done && !is_replica;
     if (!context_.fleet.observed_exits.insert(observed_exit).second) return;
-    result_.changed = true;
+    result_.exits_observed = true;
     spdlog::info("task ended job={} task={} attempt={} machine={} reason={} checkpoint_saved={}", status.job,
-                 status.task, status.attempt, machine_.name, name_of(status.cause), status.saved);
+                 status.task, status.attempt, machine_.name, name_of(status.cause), status.checkpoint_saved);
     if (status.cause == ExitCause::error || status.cause == ExitCause::unknown) record_failure(item.job);
     if (status.cause == ExitCause::no_room)
       machine_.cordoned_until = context_.now + core::secs(kCordonWithoutRoomS);
     if (status.cause == ExitCause::done) machine_.failed_jobs.clear();
   }
 
-  /// Several jobs failing on one machine point at the machine; one job failing on several at the job.
+  /// Failures of several jobs on one machine indicate a fault of the machine; failures of one job on several
+  /// machines a fault of the job.
   void record_failure(core::JobId job) {
     machine_.failed_jobs.insert(job);
-    if (machine_.failed_jobs.size() >= kJobsFailedUntilQuarantine && !machine_.quarantined) {
+    if (machine_.failed_jobs.size() >= kFailedJobsUntilQuarantine && !machine_.quarantined) {
       machine_.quarantined = true;
       spdlog::warn("machine quarantined machine={} failed_jobs={}", machine_.name,
                    machine_.failed_jobs.size());
@@ -197,46 +198,46 @@
     context_.job_failures[job].record(machine_.id, context_.now);
   }
 
-  /// The heartbeat does not have the task: that is proof that it is gone, or it is started (again).
+  /// The heartbeat does not name the task: either this proves the task gone, or its start command is sent.
   void handle_missing(const MachineAssignment& item, bool unwanted) {
-    const auto start = start_of(item);
-    if (proves_absence(start) && (unwanted || context_.fleet.confirmed_starts.contains(start)))
+    const auto attempt = attempt_of(item);
+    if (proves_absence(attempt) && (unwanted || context_.fleet.confirmed_starts.contains(attempt)))
       return observe_exit(exit_of(item));
-    if (unwanted || !context_.may_start) return;
+    if (unwanted || !context_.starts_allowed) return;
     if (item.assignment.agent_incarnation != heartbeat_.agent_incarnation) return;
     result_.commands.push_back({Command::Kind::start, context_.names.jobs.name(item.job),
                                 item.assignment.task, item.assignment.attempt, 0});
   }
 
-  /// Rules 3 and 4: a task that the heartbeat does not have is gone if no command that would start it can be
-  /// under way. Those in answers to earlier heartbeats are dead once the agent sends this one.
-  [[nodiscard]] bool proves_absence(const TaskAttempt& start) const {
-    return is_trusted() && !context_.direct && !may_still_start(start);
+  /// Rules 3 and 4: a task missing from the heartbeat is gone if no start command for it is in flight. Start
+  /// commands in answers to earlier heartbeats are void once the agent sends this one.
+  [[nodiscard]] bool proves_absence(const TaskAttempt& attempt) const {
+    return is_trusted() && !context_.is_direct_answer && !may_still_start(attempt);
   }
 
-  /// Only a heartbeat sent after the agent saw our fencing token proves that no command of an earlier leader
-  /// can still run.
+  /// True if the agent had seen this controller's fencing token. Only then does the heartbeat prove that no
+  /// command of an earlier leader can still be executed.
   [[nodiscard]] bool is_trusted() const { return heartbeat_.fencing_token == context_.fencing_token; }
 
-  /// Could a start command that went straight to the agent be carried out after this heartbeat was made?
-  [[nodiscard]] bool may_still_start(const TaskAttempt& start) const {
-    const auto found = context_.fleet.direct_starts.find(start);
+  /// True if a direct start command may be executed after this heartbeat was sent.
+  [[nodiscard]] bool may_still_start(const TaskAttempt& attempt) const {
+    const auto found = context_.fleet.direct_starts.find(attempt);
     if (found == context_.fleet.direct_starts.end()) return false;
     const auto& direct_start = found->second;
     if (direct_start.fencing_token != context_.fencing_token) return false;
     return !direct_start.answered_sequence || heartbeat_.sequence <= *direct_start.answered_sequence;
   }
 
-  /// Tells the agent to stop the task; one that is preempted, with the grace to save its checkpoint.
+  /// Sends a stop command. A preempted task gets a grace period to save its checkpoint.
   void stop(const MachineAssignment& item, const TaskStatus& status, bool live) {
-    const auto preempted = context_.fleet.preempting.find(start_of(item));
+    const auto preempted = context_.fleet.preempting.find(attempt_of(item));
     const double grace_s = live && preempted != context_.fleet.preempting.end() ? preempted->second : 0;
-    if (status.state == TaskState::saving && grace_s > 0) return;  // it is stopping
+    if (status.state == TaskState::saving && grace_s > 0) return;  // already stopping
     result_.commands.push_back({Command::Kind::stop, status.job, status.task, status.attempt, grace_s});
   }
 
-  /// Tasks that no record knows: they have ended and that is recorded, or an earlier leader's start was given
-  /// up.
+  /// Handles tasks without an assignment: their end is already recorded, or an earlier leader's start was
+  /// abandoned.
   void handle_unrecorded_tasks() {
     machine_.unrecorded_tasks = 0;
     for (std::size_t i = 0; i < heartbeat_.tasks.size(); ++i) {
@@ -247,7 +248,7 @@
         result_.commands.push_back({Command::Kind::stop, status.job, status.task, status.attempt, 0});
         continue;
       }
-      // Forgotten, a late copy of its start command would start it once more (rule 4).
+      // If the agent forgot the attempt, a late copy of its start command would start it again (rule 4).
       const auto job = context_.names.jobs.find(status.job);
       if (job && may_still_start({*job, status.task, status.attempt})) continue;
       result_.commands.push_back({Command::Kind::forget, status.job, status.task, status.attempt, 0});
@@ -255,34 +256,34 @@
   }
 
   void observe_exit(const ObservedExit& observed_exit) {
-    result_.changed |= context_.fleet.observed_exits.insert(observed_exit).second;
+    result_.exits_observed |= context_.fleet.observed_exits.insert(observed_exit).second;
   }
 
   const HeartbeatContext& context_;
   Machine& machine_;
   const wire::Heartbeat& heartbeat_;
-  std::vector<bool> recorded_;  // by task of the heartbeat: an assignment names it
+  std::vector<bool> recorded_;  // by task of the heartbeat: true if it has an assignment
   HeartbeatResult result_;
 };
 
 }  // namespace
 
 void JobFailures::record(core::MachineId machine, core::TimePoint now) {
-  constexpr double kForgottenAfterS = 120;  // twice the longest pause of a job that fails everywhere
-  constexpr double kLongestPauseS = 60;
-  constexpr std::size_t kMostDoublings = 6;
-  // A service meets many machines in its life; only failures that come together point at the job.
-  if (core::since(last_failure, now) > kForgottenAfterS) machines.clear();
+  constexpr double kRecentFailureS = 120;  // twice the maximum backoff of a job that fails everywhere
+  constexpr double kMaxBackoffS = 60;
+  constexpr std::size_t kMaxDoublings = 6;
+  // A service runs on many machines over time; only failures close together indicate a fault of the job.
+  if (core::since(last_failure, now) > kRecentFailureS) machines.clear();
   last_failure = now;
   machines.insert(machine);
   ++failures;
   if (machines.size() < 2) return;
-  const auto doubled = 1 << std::min(machines.size(), kMostDoublings);
-  retry_at = now + core::secs(std::min(kLongestPauseS, 2.0 * static_cast<double>(doubled)));
+  const auto backoff_factor = 1 << std::min(machines.size(), kMaxDoublings);
+  retry_at = now + core::secs(std::min(kMaxBackoffS, 2.0 * static_cast<double>(backoff_factor)));
 }
 
-bool gang_broken(const jobs::JobRecord& job, const state::StateCache& cache, const Fleet& fleet,
-                 core::JobId id) {
+bool is_gang_broken(const jobs::JobRecord& job, const state::StateCache& cache, const Fleet& fleet,
+                    core::JobId id) {
   if (!job.spec.gang()) return false;
   std::size_t placed = 0;
   bool lost = false;
@@ -295,7 +296,7 @@
   return lost || placed != job.spec.tasks;
 }
 
-void machine_gone(const state::StateCache& cache, Fleet& fleet, core::MachineId id) {
+void mark_assignments_ended(const state::StateCache& cache, Fleet& fleet, core::MachineId id) {
   for (const auto& item : cache.on_machine(id)) fleet.observed_exits.insert(exit_of(item));
 }
 
--- a/src/agent/heartbeat_handler.hpp
+++ b/src/agent/heartbeat_handler.hpp
@@ -1,4 +1,4 @@
-// What an agent's heartbeat means and what it is answered: pure logic over the state cache and the fleet.
+// Interprets an agent's heartbeat and decides on the answer. Does no I/O.
 #pragma once
 
 #include <set>
@@ -11,18 +11,19 @@
 
 namespace finchrun::agent {
 
-/// Failures of one job's tasks that came close together.
+/// Recent failures of one job's tasks.
 struct JobFailures {
-  std::set<core::MachineId> machines;  ///< on which its tasks failed
-  int failures = 0;                    ///< in all, however far apart
+  std::set<core::MachineId> machines;  ///< machines on which tasks of the job failed recently
+  int failures = 0;                    ///< total number, not only recent ones
   core::TimePoint last_failure{};
-  core::TimePoint retry_at{};  ///< nothing of the job is placed before
+  core::TimePoint retry_at{};  ///< no task of the job is placed before
 
-  /// One job failing on several machines points at the job: it pauses, longer with each machine.
+  /// Records a failure. Failures on several machines indicate a fault of the job, so its next placement is
+  /// delayed, by a backoff that grows with the number of machines.
   void record(core::MachineId machine, core::TimePoint now);
 };
 
-/// What a heartbeat is read against.
+/// The state that a heartbeat is compared with.
 struct HeartbeatContext {
   jobs::Names& names;
   state::StateCache& cache;
@@ -30,36 +31,36 @@
   std::unordered_map<core::JobId, JobFailures>& job_failures;
   std::uint64_t fencing_token = 0;  ///< of the machine's partition, which this controller leads
   core::TimePoint now;
-  double lease_s = 0;  ///< an agent that gets no answer for this long stops its tasks
-  /// False while our copy of the key-value store is not current: jobs may be over or cancelled by now.
-  bool may_start = true;
-  /// The agent's answer to a direct command, not a heartbeat of its own. The answer to its last heartbeat may
-  /// still be on its way to it, with starts in it, so nothing that is missing here is proved absent.
-  bool direct = false;
+  double lease_s = 0;  ///< an agent without an answer for this long stops its tasks
+  /// False while the state cache is stale, since jobs may have finished or been cancelled.
+  bool starts_allowed = true;
+  /// True for the agent's answer to a direct command. Start commands in the answer to the agent's last
+  /// heartbeat may still be in flight, so a task that is missing here is not proved absent.
+  bool is_direct_answer = false;
 };
 
 struct HeartbeatResult {
   enum class Kind {
-    answer,    ///< 200 with the commands
-    outdated,  ///< an older message than one seen: not answered with anything to act on
-    deposed,   ///< the agent has seen a higher fencing token: the partition has another leader
+    answer,      ///< 200 with the commands
+    outdated,    ///< older than a message already handled; answered without commands
+    superseded,  ///< the agent has seen a higher fencing token, so the partition has another leader
   } kind = Kind::answer;
   std::vector<wire::Command> commands;  ///< at most wire::kMaxCommands
-  bool changed = false;                 ///< exits were observed: there is something to record
+  bool exits_observed = false;          ///< exits were observed and have to be recorded
 };
 
-/// Takes in what the heartbeat proves of the machine and of the tasks that are recorded on it, and says what
-/// to answer. The rules are in docs/design.md, "Why the rules hold", 3 (when a task is gone) and 4
-/// (heartbeats). An outdated heartbeat, or one under a later leader's fencing token, changes nothing.
+/// Applies a heartbeat to the machine and to the tasks assigned to it, and returns the commands of the
+/// answer. Follows docs/design.md, "Why the rules hold", 3 (when a task is gone) and 4 (heartbeats). An
+/// outdated heartbeat, or one with a later leader's fencing token, changes nothing.
 HeartbeatResult handle_heartbeat(HeartbeatContext context, Machine& machine,
                                  const wire::Heartbeat& heartbeat);
 
-/// A gang attempt that has lost a task, in whatever partition, can't go on; what is left of it must end
-/// before the next attempt.
-bool gang_broken(const jobs::JobRecord& job, const state::StateCache& cache, const Fleet& fleet,
-                 core::JobId id);
+/// True if the gang's attempt has lost a task in any partition. Its remaining tasks must end before the next
+/// attempt.
+bool is_gang_broken(const jobs::JobRecord& job, const state::StateCache& cache, const Fleet& fleet,
+                    core::JobId id);
 
-/// All assignments on the machine are certainly gone: its deletion was answered.
-void machine_gone(const state::StateCache& cache, Fleet& fleet, core::MachineId id);
+/// Marks all assignments on the machine as ended, after the cloud has confirmed its deletion.
+void mark_assignments_ended(const state::StateCache& cache, Fleet& fleet, core::MachineId id);
 
 }  // namespace finchrun::agent
--- a/src/agent/machine.hpp
+++ b/src/agent/machine.hpp
@@ -1,4 +1,4 @@
-// What this controller knows of one machine.
+// The state of one machine, as known to this controller.
 #pragma once
 
 #include <algorithm>
@@ -14,86 +14,88 @@
 
 namespace finchrun::agent {
 
-/// One machine: what the cloud's list, its agent's heartbeats and our own commands have shown of it. Nothing
-/// here is durable; a new leader learns it anew from the list and the heartbeats.
+/// One machine, as shown by the cloud's list, its agent's heartbeats and the answers to direct commands. This
+/// state is not durable; a new leader rebuilds it from the list and the heartbeats.
 struct Machine {
-  // --- What it is: from the cloud's list, or from its own heartbeat if that comes first.
+  // --- Identity and type: from the cloud's list, or from the first heartbeat if that comes earlier.
   core::MachineId id;
   std::string name;
-  std::string endpoint;  ///< of its agent, for direct commands; empty: not known yet
+  std::string endpoint;  ///< address of the agent, for direct commands; empty: unknown
   core::MachineTypeId type;
   core::ZoneId zone;
   core::PartitionId partition;  ///< not valid: outside the deployment's zones
   bool spot = false;
   core::TimePoint first_seen{};  ///< by this process
 
-  // --- The cloud's list, which lags.
+  // --- The cloud's list, which lags behind.
   bool listed = false;               ///< in the newest list
-  bool ever_listed = false;          ///< in some list that this process has read
-  std::string status;                ///< in the cloud's words: starting, running, failed
-  core::TimePoint starting_since{};  ///< by the cloud's count
+  bool ever_listed = false;          ///< in any list that this process has read
+  std::string status;                ///< the cloud's value: starting, running or failed
+  core::TimePoint starting_since{};  ///< according to the cloud
 
-  // --- Heartbeats, newest only (docs/design.md "Why the rules hold", 4).
-  bool has_heartbeat = false;           ///< the fields below hold something, and the machine is not deleted
-  std::uint64_t agent_incarnation = 0;  ///< a new one starts when the agent's lease has run out
-  std::uint64_t sequence = 0;           ///< of the heartbeat, within the incarnation
-  std::uint64_t fencing_token = 0;      ///< highest that the agent had seen
-  core::TimePoint last_heartbeat{};     ///< that its agent sent by itself, not in answer to a direct command
-  std::optional<double> termination_notice_s;  ///< the cloud takes the spot instance back after this time
-  /// Its last heartbeat to us was for another leader, which its agent seems not to reach: we relayed it
-  /// there.
-  bool relayed = false;
+  // --- The newest heartbeat (docs/design.md "Why the rules hold", 4).
+  bool has_heartbeat = false;                  ///< the fields below are set, and the machine is not deleted
+  std::uint64_t agent_incarnation = 0;         ///< a new one starts when the agent's lease has expired
+  std::uint64_t sequence = 0;                  ///< of the heartbeat, within the incarnation
+  std::uint64_t fencing_token = 0;             ///< the highest that the agent had seen
+  core::TimePoint last_heartbeat{};            ///< excludes the answers to direct commands
+  std::optional<double> termination_notice_s;  ///< time until the cloud terminates the spot instance
+  /// This controller relayed the machine's last heartbeat to the leader without a redirect, since the agent
+  /// seemed unable to reach the leader.
+  bool relayed_without_redirect = false;
 
-  // --- Whether what we send arrives there.
-  /// When it was last asked directly: it does not know our fencing token, or may not get our answers.
+  // --- Whether messages of this controller reach the agent.
+  /// Time of the last probe. Probes go to agents that don't know this controller's fencing token or may be
+  /// unreachable.
   core::TimePoint last_probe{};
-  /// A direct command got no answer, and none has since.
+  /// Set when a direct command got no answer, and cleared by the next answer.
   std::optional<core::TimePoint> direct_command_failed_at;
-  core::TimePoint redirected_at{};  ///< when we last sent its agent to the partition's leader
-  /// Since when nothing shows that what we answer arrives there, though its heartbeats come. Such a machine
-  /// gets nothing new: its tasks would wait on it in vain.
+  core::TimePoint redirected_at{};  ///< the last redirect to the leader, or the last relay after one
+  /// Set while heartbeats arrive, but nothing shows that the answers to them reach the agent. No task is
+  /// placed on such a machine, since it would not start.
   std::optional<core::TimePoint> unreachable_since;
-  core::TimePoint unreachable_in_incarnation{};  ///< the same, but since its newest incarnation began
+  core::TimePoint unreachable_in_incarnation{};  ///< the last sign of this, in the newest incarnation
 
-  // --- What is on it.
-  std::size_t unrecorded_tasks = 0;  ///< that its agent holds and no record names
-  core::TimePoint idle_since{};      ///< the newest heartbeat with which something was on it
-  /// Images that it should hold with their size in GB, least recently used first.
-  std::vector<std::pair<core::ImageId, double>> images;
+  // --- Tasks and images.
+  std::size_t unrecorded_tasks = 0;  ///< number of tasks that the agent holds and no record names
+  core::TimePoint idle_since{};      ///< time of the newest heartbeat with tasks or assignments
+  /// Images expected in the machine's cache with their size in GB, least recently used first.
+  std::vector<std::pair<core::ImageId, double>> cached_images;
 
-  // --- Faults.
-  std::set<core::JobId> failed_jobs;  ///< whose tasks failed here since the last task that ended well
+  // --- Failures.
+  std::set<core::JobId> failed_jobs;  ///< jobs with failed tasks here since the last task that succeeded
   core::TimePoint cordoned_until{};   ///< other machines are preferred until then
-  bool quarantined = false;           ///< takes nothing more, and is returned once it is empty
+  bool quarantined = false;           ///< gets no more tasks, and is returned once it is empty
 
   // --- Scale in.
-  bool terminating = false;  ///< the cloud is being asked to delete it
-  bool gone = false;         ///< its deletion was answered; the list may show it a little longer
+  bool terminating = false;  ///< the cloud is being asked to delete the machine
+  bool deleted = false;      ///< the cloud has confirmed the deletion; the list may still show the machine
 
-  // --- Reservation: room is being made here for this job.
+  // --- Reservation: capacity is being freed here for this job.
   core::JobId reserved_for;
-  core::TimePoint reserved_ready{};  ///< when the room is expected to be there
-  core::TimePoint reserved_until{};  ///< when the reservation lapses
+  core::TimePoint reservation_ready_at{};    ///< expected time at which the capacity is free
+  core::TimePoint reservation_expires_at{};  ///< expiry of the reservation
 
-  [[nodiscard]] bool unreachable() const { return unreachable_since.has_value(); }
-  /// Something that we sent has not arrived, in its newest incarnation.
+  [[nodiscard]] bool is_unreachable() const { return unreachable_since.has_value(); }
+  /// Records that a message of this controller did not reach the agent's newest incarnation.
   void mark_unreachable(core::TimePoint now) {
     unreachable_in_incarnation = now;
     if (!unreachable_since) unreachable_since = now;
   }
-  /// Something proves that what we send arrives there.
-  void heard() { unreachable_since.reset(); }
+  /// Records that a message of this controller has reached the agent.
+  void mark_reachable() { unreachable_since.reset(); }
 
-  /// A message of the agent with these numbers is no newer than the newest one that was taken in.
+  /// True if a message of the agent with these numbers is not newer than the newest one handled.
   [[nodiscard]] bool is_outdated(std::uint64_t incarnation, std::uint64_t message_sequence) const {
     return has_heartbeat &&
            std::pair(incarnation, message_sequence) <= std::pair(agent_incarnation, sequence);
   }
-  [[nodiscard]] bool holds(core::ImageId image) const {
-    return std::any_of(images.begin(), images.end(), [&](const auto& held) { return held.first == image; });
+  [[nodiscard]] bool has_image(core::ImageId image) const {
+    return std::any_of(cached_images.begin(), cached_images.end(),
+                       [&](const auto& held) { return held.first == image; });
   }
-  /// The image is used now. The least recently used images go while all together are larger than the cache,
-  /// as the agent does it; the last one stays.
+  /// Marks the image as most recently used and, as the agent does, evicts the least recently used ones while
+  /// the total exceeds the cache size. The last image is never evicted.
   void use_image(core::ImageId image, double image_gb, std::optional<double> cache_gb);
 };
 
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -8,7 +8,7 @@
 #include "autoscaling/autoscaler.hpp"
 #include "coordination/leadership.hpp"
 #include "coordination/membership.hpp"
-#include "gateway/cancellation_stops.hpp"
+#include "gateway/cancelled_task_stopper.hpp"
 #include "gateway/router.hpp"
 #include "scheduling/partition_writer.hpp"
 
@@ -45,7 +45,7 @@
   coordination::Membership membership_;
   coordination::Leadership leadership_;
   gateway::AgentCommands commands_;
-  gateway::CancellationStops cancellation_stops_;
+  gateway::CancelledTaskStopper cancellation_stops_;
   gateway::AgentGateway agents_;
   coordination::PeerService peer_service_;
   gateway::JobApi jobs_;
--- a/src/assignments/exit_recorder.cpp
+++ b/src/assignments/exit_recorder.cpp
@@ -13,7 +13,7 @@
   std::vector<PartitionTransaction> planned;
   state_.with([&](ControllerState& state) {
     // While the cache is read anew, no partition is known to be ours, and observed exits would be dropped.
-    if (!state.loaded) return;
+    if (!state.cache_loaded) return;
     state.drop_recorded_exits();
     for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
       const core::PartitionId partition{p};
--- a/src/assignments/placement_plan.cpp
+++ b/src/assignments/placement_plan.cpp
@@ -18,7 +18,7 @@
   std::vector<jobs::TaskAssignment> assignments;
   for (const auto& [task, machine_id] : placement.tasks) {
     const auto* machine = state.fleet.find(machine_id);
-    if (!machine || machine->gone || machine->terminating) return std::nullopt;
+    if (!machine || machine->deleted || machine->terminating) return std::nullopt;
     assignments.push_back({task, attempt, machine_id, machine->agent_incarnation});
   }
   return assignments;
@@ -46,7 +46,7 @@
         state.names.jobs.name(placement.job), assignment.task, assignment.attempt,
         state.names.machines.name(assignment.machine), state.names.partitions.name(placement.partition),
         placement.fencing_token, placement.weight, state.names.images.name(image),
-        machine && machine->holds(image)));
+        machine && machine->has_image(image)));
   }
 }
 
--- a/src/assignments/write_fences.cpp
+++ b/src/assignments/write_fences.cpp
@@ -65,7 +65,7 @@
     const auto partition = state_.with([&](ControllerState& state) {
       if (moved) {
         state.fence_due[move.partition.index] = 0;
-        state.fenced_at[move.partition.index] = result.revision;
+        state.fence_move_revision[move.partition.index] = result.revision;
       }
       return state.names.partitions.name(move.partition);
     });
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -22,7 +22,7 @@
 
 void apply_listed(ControllerState& state, const cloud::ListedMachine& listed, core::TimePoint now) {
   if (state.fleet.was_deleted(state.names, listed.name)) return;  // the list lags
-  auto& machine = state.fleet.see(state.names, listed.name, now);
+  auto& machine = state.fleet.mark_seen(state.names, listed.name, now);
   machine.listed = machine.ever_listed = true;
   machine.type = state.names.types.intern(listed.type);
   machine.zone = state.names.zones.intern(listed.zone);
@@ -37,7 +37,7 @@
 /// Machines that are no longer listed, that no record names and that have been silent for long.
 void drop_forgotten_machines(ControllerState& state, core::TimePoint now) {
   const double kept_s = 4 * state.settings.cloud_list_lag_s + 60;
-  std::erase_if(state.fleet.all(), [&](const auto& item) {
+  std::erase_if(state.fleet.machines(), [&](const auto& item) {
     const auto& [id, machine] = item;
     return !machine.listed && state.cache.on_machine(id).empty() &&
            core::since(machine.first_seen, now) > kept_s && core::since(machine.last_heartbeat, now) > kept_s;
@@ -51,11 +51,11 @@
         const auto partition = assignments.front().partition;
         if (!state.leads(partition)) return;
         // A placement that was on its way when the machine was returned: what it booked is gone too.
-        if (state.fleet.deleted.contains(id)) return agent::machine_gone(state.cache, state.fleet, id);
+        if (state.fleet.deleted_machines.contains(id)) return agent::mark_assignments_ended(state.cache, state.fleet, id);
         if (state.fleet.find(id)) return;
         // Taken while no leader was there to see it: never listed, never heartbeating, yet recorded. Its
         // deletion has to be asked for too, or its tasks stay booked for good.
-        auto& machine = state.fleet.intern(state.names, state.names.machines.name(id));
+        auto& machine = state.fleet.find_or_add(state.names, state.names.machines.name(id));
         machine.partition = partition;
         machine.zone = state.partitions.zone(partition);
         machine.first_seen = now;
@@ -68,9 +68,9 @@
   auto* machine = state.fleet.find(decision.machine);
   if (!machine) return;
   spdlog::info("scale in machine={} reason={}", decision.name, name_of(decision.reason));
-  agent::machine_gone(state.cache, state.fleet, decision.machine);
-  state.fleet.deleted.insert(decision.machine);
-  machine->gone = true;
+  agent::mark_assignments_ended(state.cache, state.fleet, decision.machine);
+  state.fleet.deleted_machines.insert(decision.machine);
+  machine->deleted = true;
   machine->has_heartbeat = false;
 }
 
@@ -117,7 +117,7 @@
   if (!list) co_return;
   const auto now = core::Steady::now();
   state_.with([&](ControllerState& state) {
-    for (auto& [_, machine] : state.fleet.all()) machine.listed = false;
+    for (auto& [_, machine] : state.fleet.machines()) machine.listed = false;
     for (const auto& listed : *list) apply_listed(state, listed, now);
     drop_forgotten_machines(state, now);
   });
@@ -187,7 +187,7 @@
 void Autoscaler::take_over_rented(const MachineKind& kind, const std::vector<std::string>& machines) {
   state_.with([&](ControllerState& state) {
     for (const auto& name : machines) {
-      auto& machine = state.fleet.intern(state.names, name);
+      auto& machine = state.fleet.find_or_add(state.names, name);
       machine.type = state.names.types.intern(kind.type);
       machine.zone = state.names.zones.intern(kind.zone);
       machine.partition = state.partitions.partition_of(name, machine.zone).value_or(core::PartitionId{});
--- a/src/autoscaling/scale_in_plan.cpp
+++ b/src/autoscaling/scale_in_plan.cpp
@@ -21,11 +21,11 @@
 
 std::vector<PartitionHealth> partition_health(const ControllerState& state, core::TimePoint now) {
   std::vector<PartitionHealth> partitions(state.partitions.size());
-  for (const auto& [_, machine] : state.fleet.all()) {
-    if (!machine.partition.valid() || machine.gone || !machine.listed || machine.status != "running")
+  for (const auto& [_, machine] : state.fleet.machines()) {
+    if (!machine.partition.valid() || machine.deleted || !machine.listed || machine.status != "running")
       continue;
     auto& health = partitions[machine.partition.index];
-    const bool silent = state.silent_s(machine, now) > may_be_gone_s(state.settings);
+    const bool silent = state.seconds_since_heartbeat(machine, now) > may_be_gone_s(state.settings);
     ++(silent ? health.silent : health.heartbeating);
   }
   return partitions;
@@ -65,7 +65,7 @@
 bool is_unreachable(const ControllerState& state, const Machine& machine, double silent_s,
                     core::TimePoint now) {
   const double lease_s = state.settings.lease_s;
-  return machine.unreachable() && silent_s < lease_s &&
+  return machine.is_unreachable() && silent_s < lease_s &&
          core::since(*machine.unreachable_since, now) > 2 * lease_s + 15;
 }
 
@@ -73,7 +73,7 @@
                                               const PartitionHealth& health, core::TimePoint now) {
   const auto& placed = state.cache.on_machine(machine.id);
   const bool in_use = !placed.empty();
-  const double silent_s = state.silent_s(machine, now);
+  const double silent_s = state.seconds_since_heartbeat(machine, now);
   if (machine.listed && machine.status == "failed") return ScaleInReason::failed;
   if (in_use && is_unlisted(state, machine, silent_s)) return ScaleInReason::unlisted;
   if (machine.listed && machine.status == "running" &&
@@ -118,10 +118,10 @@
   if (!is_current(state, now)) return {};
   const auto health = partition_health(state, now);
   std::vector<ScaleInDecision> decisions;
-  for (const auto& [id, machine] : state.fleet.all()) {
+  for (const auto& [id, machine] : state.fleet.machines()) {
     if (decisions.size() >= kMostReturnedAtOnce) break;
     if (!machine.partition.valid() || !state.leads(machine.partition)) continue;
-    if (machine.gone || machine.terminating) continue;
+    if (machine.deleted || machine.terminating) continue;
     if (const auto reason = reason_to_return(state, machine, health[machine.partition.index], now))
       decisions.push_back({id, machine.name, *reason});
   }
--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -56,7 +56,7 @@
     collect_quotas();
     collect_room();
     spot_work_exists_ = std::any_of(
-        state.job_classes.begin(), state.job_classes.end(),
+        state.job_class_profiles.begin(), state.job_class_profiles.end(),
         [](const sched::JobClassProfile& job_class) { return job_class.spot && job_class.tasks >= 1; });
   }
 
@@ -95,14 +95,14 @@
 
   /// Room on machines that were rented and are starting, and on spot instances that are up or starting.
   void collect_room() {
-    for (const auto& [id, machine] : state_.fleet.all()) {
+    for (const auto& [id, machine] : state_.fleet.machines()) {
       if (!machine.partition.valid() || !state_.leads(machine.partition)) continue;
-      if (machine.terminating || machine.quarantined || machine.gone) continue;
+      if (machine.terminating || machine.quarantined || machine.deleted) continue;
       const auto* type = state_.fleet.machine_type(machine.type);
       if (!type) continue;
       Room room{machine.partition, machine.type, machine.spot, type->size};
       if (machine.has_heartbeat) {
-        room.free -= state_.used_on(id);
+        room.free -= state_.allocated_on(id);
       } else {
         if (is_boot_overdue(machine, *type, now_)) continue;
         arriving_.push_back(room);
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -9,20 +9,20 @@
 
 constexpr double kMaxStateAgeToStartS = 2.0;
 
-// An agent that lets this many of its heartbeats be missed, and a moment for the way, is not seen to obey.
-constexpr double kHeartbeatsMissed = 2.5;
+// No task is placed on a machine whose heartbeats have been missing for this many intervals plus the delay.
+constexpr double kMaxMissedHeartbeats = 2.5;
 constexpr double kHeartbeatDelayS = 1.0;
 
-constexpr double kJobClassFade = 0.98;  // of a job class's tasks, a round
+constexpr double kJobClassDecay = 0.98;  // per round, of a job class's task count
 
-// Estimates are often wrong by half; the fetch and the rounds on the way take their time too.
+// Estimated run times are often wrong by half, and fetching the image and starting the task take time too.
 constexpr double kRunTimeMargin = 1.5;
 constexpr double kImageFetchSPerGb = 2;
 constexpr double kHeartbeatsToStart = 4;
 
-// Of the objective's own time; the rest is for making room and starting.
+// Share of the objective's time; the rest is left for preemption and start.
 constexpr double kGuaranteeGraceShare = 0.3;
-constexpr double kGuaranteeGraceS = 5;  // without an objective
+constexpr double kDefaultGuaranteeGraceS = 5;  // without an objective
 
 jobs::Names names_for(const config::Settings& settings) {
   jobs::Names names;
@@ -30,33 +30,34 @@
   return names;
 }
 
-// By accelerators if the team is guaranteed any, else by processors.
+// The guaranteed accelerators if there are any, else the guaranteed processors.
 double fair_share_weight(const config::Team& team) {
   if (team.gpus > 0) return team.gpus;
   return team.cpus > 0 ? team.cpus : 1.0;
 }
 
-// Forgets what was kept of an attempt that has ended and needs no record any more.
+// Drops the state of an attempt whose end needs no record any more.
 void forget_attempt(agent::Fleet& fleet, const agent::TaskAttempt& attempt, std::uint64_t fencing_token) {
   fleet.confirmed_starts.erase(attempt);
   fleet.preempting.erase(attempt);
   fleet.stop_retries.erase(attempt);
   const auto start = fleet.direct_starts.find(attempt);
   if (start == fleet.direct_starts.end()) return;
-  // Without an answer it may still be carried out, while the agent obeys this fencing token.
+  // The agent may still execute an unanswered start while it obeys this fencing token.
   if (start->second.answered_sequence || start->second.fencing_token != fencing_token)
     fleet.direct_starts.erase(start);
 }
 
-// Some objective asks for a deadline of the job class, and none for anything else.
-bool only_deadlines_asked(const std::vector<config::Objective>& objectives, const std::string& job_class) {
-  bool deadline = false;
+// True if the job class has objectives, and all of them are deadlines.
+bool has_only_deadline_objectives(const std::vector<config::Objective>& objectives,
+                                  const std::string& job_class) {
+  bool has_deadline = false;
   for (const auto& objective : objectives) {
     if (objective.job_class != job_class) continue;
     if (objective.kind != "deadline") return false;
-    deadline = true;
+    has_deadline = true;
   }
-  return deadline;
+  return has_deadline;
 }
 
 }  // namespace
@@ -72,16 +73,16 @@
       leader_missing_since(partitions.size()),
       leading_since(partitions.size()),
       fence_due(partitions.size(), 0),
-      fenced_at(partitions.size(), 0),
+      fence_move_revision(partitions.size(), 0),
       usage(partitions.size(),
             ledger::UsageWindows(settings.teams.size(), tuning.window_s, tuning.windows, tuning.decay)),
-      usage_from(partitions.size(), 0) {
-  for (const auto& team : settings.teams) shares.push_back(fair_share_weight(team));
+      usage_fencing_tokens(partitions.size(), 0) {
+  for (const auto& team : settings.teams) fair_share_weights.push_back(fair_share_weight(team));
 }
 
 bool ControllerState::holds_leadership(core::PartitionId partition) const {
   const auto& leadership = cache.leadership(partition);
-  return loaded && incarnation != 0 && leadership.leader == settings.label &&
+  return cache_loaded && incarnation != 0 && leadership.leader == settings.label &&
          leadership.incarnation == incarnation;
 }
 
@@ -90,13 +91,13 @@
          cache.readable(partition);
 }
 
-bool ControllerState::all_members_know(std::uint64_t level) const {
+bool ControllerState::all_members_support(std::uint64_t level) const {
   const auto& members = cache.members();
   return !members.empty() && std::all_of(members.begin(), members.end(),
                                          [&](const auto& member) { return member.second.level >= level; });
 }
 
-bool ControllerState::all_controllers_know(std::uint64_t level) const {
+bool ControllerState::all_controllers_support(std::uint64_t level) const {
   return std::all_of(settings.members.begin(), settings.members.end(), [&](const config::Member& member) {
     const auto last = cache.last_level(member.label);
     return last && *last >= level;
@@ -104,46 +105,47 @@
 }
 
 core::TimePoint ControllerState::cancellations_known_at(core::TimePoint now) const {
-  // A controller that the settings don't name might confirm some, and tells us nothing.
-  const auto controllers_named = static_cast<int>(cancellations_confirmed_at.size()) + 1;
-  if (controllers_named < settings.nodes) return synchronized_at;
+  // A controller that the settings don't name may confirm cancellations without reporting them here.
+  const auto named_controllers = static_cast<int>(cancellations_confirmed_at.size()) + 1;
+  if (named_controllers < settings.nodes) return synchronized_at;
   core::TimePoint confirmed_by_all = now;
   for (const auto at : cancellations_confirmed_at) confirmed_by_all = std::min(confirmed_by_all, at);
   return std::max(synchronized_at, confirmed_by_all);
 }
 
-bool ControllerState::may_renew_leases(core::TimePoint now) const {
+bool ControllerState::can_renew_leases(core::TimePoint now) const {
   return core::since(cancellations_known_at(now), now) < settings.renewal_window_s();
 }
 
-double ControllerState::silent_s(const agent::Machine& machine, core::TimePoint now) const {
-  const auto leader_since = leading_since.at(machine.partition.index);
-  return core::since(std::max({machine.last_heartbeat, machine.first_seen, leader_since}), now);
+double ControllerState::seconds_since_heartbeat(const agent::Machine& machine, core::TimePoint now) const {
+  const auto term_start = leading_since.at(machine.partition.index);
+  return core::since(std::max({machine.last_heartbeat, machine.first_seen, term_start}), now);
 }
 
-bool ControllerState::usable(const agent::Machine& machine, core::TimePoint now) const {
+bool ControllerState::is_schedulable(const agent::Machine& machine, core::TimePoint now) const {
   const bool obeys = machine.has_heartbeat && machine.fencing_token == fencing_token(machine.partition);
-  if (!obeys || machine.unreachable() || machine.unrecorded_tasks > 0) return false;
-  if (machine.termination_notice_s || machine.quarantined || machine.terminating || machine.gone)
+  if (!obeys || machine.is_unreachable() || machine.unrecorded_tasks > 0) return false;
+  if (machine.termination_notice_s || machine.quarantined || machine.terminating || machine.deleted)
     return false;
-  // A new leader has its answers to the new fencing token before the agent comes by itself.
-  const auto seen = std::max(machine.last_heartbeat, leading_since.at(machine.partition.index));
-  return core::since(seen, now) < kHeartbeatsMissed * settings.report_s + kHeartbeatDelayS;
+  // The agents answer a new leader's probes before they send it their first heartbeats.
+  const auto last_seen = std::max(machine.last_heartbeat, leading_since.at(machine.partition.index));
+  return core::since(last_seen, now) < kMaxMissedHeartbeats * settings.report_s + kHeartbeatDelayS;
 }
 
-core::Resources ControllerState::used_on(core::MachineId id) const {
+core::Resources ControllerState::allocated_on(core::MachineId id) const {
   core::Resources used;
   for (const auto& [job_id, partition, assignment] : cache.on_machine(id))
-    if (const auto* job = cache.job(job_id); job && !fleet.ended(job_id, partition, assignment))
+    if (const auto* job = cache.job(job_id); job && !fleet.has_ended(job_id, partition, assignment))
       used += job->spec.need;
   return used;
 }
 
-agent::HeartbeatResult ControllerState::take(agent::Machine& machine, const wire::Heartbeat& heartbeat,
-                                             core::TimePoint now, bool direct) {
-  const bool may_start = core::since(synchronized_at, now) < kMaxStateAgeToStartS;
+agent::HeartbeatResult ControllerState::apply_heartbeat(agent::Machine& machine,
+                                                        const wire::Heartbeat& heartbeat, core::TimePoint now,
+                                                        bool is_direct_answer) {
+  const bool starts_allowed = core::since(synchronized_at, now) < kMaxStateAgeToStartS;
   return agent::handle_heartbeat({names, cache, fleet, job_failures, fencing_token(machine.partition), now,
-                                  settings.lease_s, may_start, direct},
+                                  settings.lease_s, starts_allowed, is_direct_answer},
                                  machine, heartbeat);
 }
 
@@ -166,27 +168,28 @@
   return id ? cache.job(*id) : nullptr;
 }
 
-void ControllerState::observe_job_classes() {
-  job_classes.resize(names.job_classes.size());
-  std::vector<double> unfinished(job_classes.size(), 0.0);
+void ControllerState::update_job_class_profiles() {
+  job_class_profiles.resize(names.job_classes.size());
+  std::vector<double> unfinished(job_class_profiles.size(), 0.0);
   for (const auto id : cache.live()) {
     const auto& spec = cache.job(id)->spec;
-    auto& profile = job_classes[spec.job_class.index];
+    auto& profile = job_class_profiles[spec.job_class.index];
     profile.need = spec.need;
     profile.spot = spec.spot;
     profile.types = spec.types;
     unfinished[spec.job_class.index] += unfinished_tasks(cache, id);
   }
-  for (std::size_t i = 0; i < job_classes.size(); ++i)
-    job_classes[i].tasks = std::max(unfinished[i], job_classes[i].tasks * kJobClassFade);
+  for (std::size_t i = 0; i < job_class_profiles.size(); ++i)
+    job_class_profiles[i].tasks = std::max(unfinished[i], job_class_profiles[i].tasks * kJobClassDecay);
 }
 
-bool ControllerState::deferrable(const jobs::JobSpec& spec, double now_s) const {
+bool ControllerState::is_deferrable(const jobs::JobSpec& spec, double now_s) const {
   if (!spec.deadline_s) return false;
-  if (!only_deadlines_asked(settings.objectives, names.job_classes.name(spec.job_class))) return false;
-  const double needs_s = spec.expected_run_s * kRunTimeMargin + spec.image_gb * kImageFetchSPerGb +
-                         kHeartbeatsToStart * settings.report_s;
-  return spec.submitted_s + *spec.deadline_s - now_s > needs_s;
+  if (!has_only_deadline_objectives(settings.objectives, names.job_classes.name(spec.job_class)))
+    return false;
+  const double required_s = spec.expected_run_s * kRunTimeMargin + spec.image_gb * kImageFetchSPerGb +
+                            kHeartbeatsToStart * settings.report_s;
+  return spec.submitted_s + *spec.deadline_s - now_s > required_s;
 }
 
 std::vector<std::vector<core::Resources>> ControllerState::used_by_partition() const {
@@ -201,15 +204,15 @@
   return controller::quota_shares(settings, cache, team);
 }
 
-std::set<core::JobId> ControllerState::within_guarantee() const {
-  return controller::within_guarantee(settings, cache);
+std::set<core::JobId> ControllerState::jobs_within_guarantee() const {
+  return controller::jobs_within_guarantee(settings, cache);
 }
 
 double ControllerState::guarantee_grace_s() const {
   for (const auto& objective : settings.objectives)
     if (objective.kind == "guarantee" && objective.within_s > 0)
       return kGuaranteeGraceShare * objective.within_s;
-  return kGuaranteeGraceS;
+  return kDefaultGuaranteeGraceS;
 }
 
 }  // namespace finchrun::controller
--- a/src/controller/quota_usage.cpp
+++ b/src/controller/quota_usage.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// The job, if its team is of this deployment: teams may have gone from the settings.
+// Null if the settings don't name the job's team, which may have been removed from them.
 const jobs::JobRecord* job_of_known_team(const config::Settings& settings, const state::StateCache& cache,
                                          core::JobId id) {
   const auto* job = cache.job(id);
   return job && job->spec.team.index < settings.teams.size() ? job : nullptr;
 }
 
-// Reported as done and as gone: one assignment all the same.
-bool reported_twice(const agent::Fleet& fleet, const agent::ObservedExit& exit) {
+// True for a completed attempt that is also listed as not completed; both entries are the same assignment.
+bool is_duplicate_exit(const agent::Fleet& fleet, const agent::ObservedExit& exit) {
   return exit.done &&
          fleet.observed_exits.contains({exit.job, exit.partition, exit.task, exit.attempt, false});
 }
@@ -28,11 +28,12 @@
   return jobs;
 }
 
-// `asked`: by the team's jobs up to the one that needs `need`, that one included.
-bool fits_guarantee(const config::Team& team, const core::Resources& need, const core::Resources& asked) {
+// `requested`: total of the team's jobs up to and including the one whose tasks need `need`.
+bool fits_guarantee(const config::Team& team, const core::Resources& need, const core::Resources& requested) {
   if (team.gpus <= 0 && team.cpus <= 0) return false;
-  const bool gpus_fit = team.gpus <= 0 ? need.gpus <= 0 : asked.gpus <= team.gpus + core::Resources::kSlack;
-  const bool cpus_fit = team.cpus <= 0 || asked.cpus <= team.cpus + core::Resources::kSlack;
+  const bool gpus_fit =
+      team.gpus <= 0 ? need.gpus <= 0 : requested.gpus <= team.gpus + core::Resources::kSlack;
+  const bool cpus_fit = team.cpus <= 0 || requested.cpus <= team.cpus + core::Resources::kSlack;
   return gpus_fit && cpus_fit;
 }
 
@@ -55,7 +56,7 @@
         job->spec.need * static_cast<double>(run.assignments.size());
   });
   for (const auto& exit : fleet.observed_exits) {
-    if (reported_twice(fleet, exit)) continue;
+    if (is_duplicate_exit(fleet, exit)) continue;
     const auto* job = job_of_known_team(settings, cache, exit.job);
     if (job && cache.has_assignment(exit.job, exit.partition, exit.task, exit.attempt))
       used[exit.partition.index][job->spec.team.index] -= job->spec.need;
@@ -83,15 +84,16 @@
   return shares;
 }
 
-std::set<core::JobId> within_guarantee(const config::Settings& settings, const state::StateCache& cache) {
-  std::vector<core::Resources> asked(settings.teams.size());  // by team, by its jobs so far
+std::set<core::JobId> jobs_within_guarantee(const config::Settings& settings,
+                                            const state::StateCache& cache) {
+  std::vector<core::Resources> requested(settings.teams.size());  // by team: total of its jobs so far
   std::set<core::JobId> within;
   for (const auto id : oldest_first(cache)) {
     const auto* job = job_of_known_team(settings, cache, id);
     if (!job) continue;
     const auto team = job->spec.team.index;
-    asked[team] += job->spec.need * static_cast<double>(unfinished_tasks(cache, id));
-    if (fits_guarantee(settings.teams[team], job->spec.need, asked[team])) within.insert(id);
+    requested[team] += job->spec.need * static_cast<double>(unfinished_tasks(cache, id));
+    if (fits_guarantee(settings.teams[team], job->spec.need, requested[team])) within.insert(id);
   }
   return within;
 }
--- a/src/controller/quota_usage.hpp
+++ b/src/controller/quota_usage.hpp
@@ -1,4 +1,4 @@
-// What teams use, of their quotas and of their guarantees, by the records as the state cache shows them.
+// Usage of the teams' quotas and guarantees, computed from the records in the state cache.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,26 @@
 
 namespace finchrun::controller {
 
-/// Tasks of the job that are not done, whether they wait or run.
+/// Number of the job's tasks that are not done, waiting or running.
 std::uint32_t unfinished_tasks(const state::StateCache& cache, core::JobId id);
 
-/// Booked by each team in each partition, [partition][team]: every assignment, those of jobs that are over
-/// too (rule `quota`). What is known to have ended is not counted: its end is recorded no later than what
-/// takes its place.
+/// Resources assigned to each team in each partition, [partition][team]. Counts every assignment, also those
+/// of finished and cancelled jobs (rule `quota`), except attempts known to have ended: their end is recorded
+/// no later than the assignments that replace them.
 std::vector<std::vector<core::Resources>> used_by_partition(const config::Settings& settings,
                                                             const state::StateCache& cache,
                                                             const agent::Fleet& fleet);
 
-/// Summed over the partitions, by team: `used` is [partition][team].
+/// Sums `used`, which is [partition][team], over the partitions.
 std::vector<core::Resources> sum_by_team(const std::vector<std::vector<core::Resources>>& used,
                                          std::size_t teams);
 
-/// The team's shares as its record says; equal ones while it has none.
+/// The team's quota shares from its record; equal shares while it has no record.
 ledger::QuotaShares quota_shares(const config::Settings& settings, const state::StateCache& cache,
                                  core::TeamId team);
 
-/// Live jobs that fit their team's guarantee together with the team's earlier unfinished jobs. A team without
-/// any guarantee has none; a job that needs accelerators has to fit a guarantee of accelerators.
-std::set<core::JobId> within_guarantee(const config::Settings& settings, const state::StateCache& cache);
+/// Live jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. A team
+/// without a guarantee has no such jobs; a job that needs accelerators must fit a guarantee of accelerators.
+std::set<core::JobId> jobs_within_guarantee(const config::Settings& settings, const state::StateCache& cache);
 
 }  // namespace finchrun::controller
--- a/src/controller/runtime.cpp
+++ b/src/controller/runtime.cpp
@@ -9,7 +9,7 @@
 namespace finchrun::controller {
 namespace {
 
-constexpr int kExitAfterFailedLoop = 3;
+constexpr int kExitStatusAfterFailedLoop = 3;
 
 std::string message_of(const std::exception_ptr& failure) {
   try {
@@ -38,7 +38,7 @@
   asio::co_spawn(io_, std::move(loop), [](const std::exception_ptr& failure) {
     if (!failure) return;
     spdlog::critical("loop failed error=\"{}\"", message_of(failure));
-    std::_Exit(kExitAfterFailedLoop);
+    std::_Exit(kExitStatusAfterFailedLoop);
   });
 }
 
--- a/src/controller/runtime.hpp
+++ b/src/controller/runtime.hpp
@@ -1,5 +1,4 @@
-// What all components of a controller share to run: its event loop, its background coroutines and its random
-// pauses.
+// The runtime of a controller: its event loop, background coroutines and jittered delays.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,15 +18,16 @@
   Runtime(asio::io_context& io, std::uint32_t seed) : io_(io), random_(seed) {}
 
   [[nodiscard]] asio::io_context& io() { return io_; }
-  /// Between 80% and 120% of `seconds`, evenly distributed, so that controllers don't act in step. Draws once
-  /// from the seeded generator: simulations repeat only while the order of draws stays.
+  /// Returns a uniformly random duration between 80% and 120% of `seconds`, so that controllers don't act in
+  /// lockstep. Draws once from the seeded generator; a simulation is reproducible only while the order of
+  /// draws stays the same.
   [[nodiscard]] core::Steady::duration jitter(double seconds);
   /// Waits for `jitter(seconds)`, drawn when the wait begins.
   asio::awaitable<void> sleep(double seconds);
-  /// Starts a loop that lasts as long as the process: one that throws is a bug, and ends the process with
-  /// status 3 rather than leaving it half alive. No destructors run.
+  /// Starts a loop that runs until the process ends. An exception from it is a bug and terminates the process
+  /// with status 3, without destructors, so that the process does not run on without the loop.
   void run_forever(asio::awaitable<void> loop);
-  /// Starts a task that ends by itself. An exception that leaves it is logged, and ends it alone.
+  /// Starts a task that ends by itself. An exception from it is logged and ends only this task.
   void spawn(asio::awaitable<void> task);
 
  private:
@@ -35,14 +35,14 @@
   std::mt19937 random_;
 };
 
-/// Wakes the one coroutine that waits for it. A notification while nobody waits is lost.
+/// Wakes the one coroutine that waits on it. A notification without a waiting coroutine is lost.
 class Wakeup {
  public:
   explicit Wakeup(asio::io_context& io) : timer_(io) {}
-  /// Ends the wait that is under way, if any.
+  /// Ends the current wait, if any.
   void notify() { timer_.cancel(); }
-  /// Waits until notified, `seconds` at most, without jitter. Does not say which of the two ended the wait.
-  /// For one coroutine at a time: a second one would end the wait of the first.
+  /// Waits for a notification, but no longer than `seconds`, without jitter; does not report which of the two
+  /// ended the wait. Only one coroutine may wait at a time: a second would end the wait of the first.
   asio::awaitable<void> wait(double seconds);
 
  private:
--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership.cpp
@@ -74,7 +74,7 @@
   const auto& leader = state.cache.leadership(partition).leader;
   if (state.holds_leadership(partition)) return LeaderStatus::this_process;
   if (leader == state.settings.label) return LeaderStatus::earlier_process;
-  return !leader.empty() && state.alive(leader) ? LeaderStatus::alive : LeaderStatus::missing;
+  return !leader.empty() && state.is_member_alive(leader) ? LeaderStatus::alive : LeaderStatus::missing;
 }
 
 std::optional<core::TimePoint> oldest_unanswered_start(const ControllerState& state,
@@ -83,7 +83,7 @@
   const auto fencing_token = state.fencing_token(partition);
   for (const auto& [task, start] : state.fleet.direct_starts) {
     if (start.answered_sequence || start.fencing_token != fencing_token) continue;
-    oldest = std::min(oldest.value_or(start.at), start.at);
+    oldest = std::min(oldest.value_or(start.sent_at), start.sent_at);
   }
   return oldest;
 }
@@ -138,10 +138,10 @@
 }
 
 std::optional<LeadershipSnapshot> Leadership::observe(ControllerState& state, core::TimePoint now) {
-  if (!state.loaded || state.incarnation == 0 || state.store_lease == 0) return std::nullopt;
+  if (!state.cache_loaded || state.incarnation == 0 || state.store_lease == 0) return std::nullopt;
   if (core::since(state.synchronized_at, now) > kMaxViewAgeS) return std::nullopt;
   for (const auto& member : state.settings.members) {
-    if (state.alive(member.label)) {
+    if (state.is_member_alive(member.label)) {
       alive_since_.try_emplace(member.label, now);
     } else {
       alive_since_.erase(member.label);
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -25,7 +25,7 @@
 std::optional<std::string_view> membership_loss(const ControllerState& state, state::LeaseRenewal renewal) {
   if (renewal == state::LeaseRenewal::expired) return "lease_expired";
   // Only what the cache has read since the key was written says anything about it.
-  if (!state.loaded || state.cache.revision() < state.joined_revision) return std::nullopt;
+  if (!state.cache_loaded || state.cache.revision() < state.joined_revision) return std::nullopt;
   const auto* member = state.cache.member(state.settings.label);
   if (!member) return "member_key_gone";
   if (member->incarnation != state.incarnation) return "member_key_of_another_process";
--- a/src/coordination/peer_service.cpp
+++ b/src/coordination/peer_service.cpp
@@ -49,7 +49,7 @@
   pong.state_age_s = core::since(state.synchronized_at, core::Steady::now());
   const auto cancelled = state.cache.cancelled_after(revision);
   // While it is read anew, our copy may lack what we have confirmed.
-  pong.complete = state.loaded && cancelled.has_value();
+  pong.complete = state.cache_loaded && cancelled.has_value();
   for (const auto id : cancelled.value_or(std::vector<core::JobId>{}))
     pong.cancelled.push_back(cancellation_notice(state, id));
   return peer::encode(pong);
--- a/src/coordination/state_follower.cpp
+++ b/src/coordination/state_follower.cpp
@@ -53,7 +53,7 @@
     // Pages are read one after the other, and own writes may be newer than they: not to be decided from until
     // the changes since the first one have been read. A heartbeat would find its tasks unknown and stop them.
     state.cache.synchronized(*revision);
-    state.loaded = false;
+    state.cache_loaded = false;
   });
   spdlog::info("state loaded keys={} revision={}", updates.size(), *revision);
   co_return true;
@@ -89,7 +89,7 @@
       co_return ReadOutcome::failed;
     }
     spdlog::info("state outdated revision={} reason={}", from, name_of(*error));
-    state_.with([](ControllerState& state) { state.loaded = false; });
+    state_.with([](ControllerState& state) { state.cache_loaded = false; });
     co_return ReadOutcome::revision_too_old;
   }
   const auto& changes = std::get<state::Changes>(result);
@@ -97,7 +97,7 @@
     for (const auto& event : changes.events) state.cache.apply(event);
     state.cache.synchronized(changes.revision);
     state.synchronized_at = sent;
-    state.loaded = true;
+    state.cache_loaded = true;
   });
   serve_waiters(sent);
   co_return ReadOutcome::applied;
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -13,10 +13,10 @@
 
 using controller::ControllerState;
 
-// Zones in which a task fits some allowed machine type.
-std::set<std::string> zones_that_fit(const ControllerState& state, const wire::Submission& submission) {
+// Allowed zones in which one task fits on an allowed machine type.
+std::set<std::string> feasible_zones(const ControllerState& state, const wire::Submission& submission) {
   std::set<std::string> zones;
-  const auto& types = submission.types;
+  const auto& types = submission.allowed_types;
   for (const auto& machine_type : state.fleet.machine_types) {
     if (types && std::find(types->begin(), types->end(), machine_type.name) == types->end()) continue;
     if (!submission.spec.need.fits(machine_type.size)) continue;
@@ -26,15 +26,16 @@
   return zones;
 }
 
-// The field that takes most of the job's record.
-Impossible longest_field(const wire::Submission& submission) {
+// Names the longer of the two fields that can make a record exceed the store's value limit.
+InfeasibleReason record_too_long_reason(const wire::Submission& submission) {
   std::size_t types_bytes = 0;
-  if (submission.types)
-    for (const auto& type : *submission.types) types_bytes += type.size();
-  return types_bytes > submission.image.size() ? Impossible::types_too_long : Impossible::image_too_long;
+  if (submission.allowed_types)
+    for (const auto& type : *submission.allowed_types) types_bytes += type.size();
+  return types_bytes > submission.image.size() ? InfeasibleReason::types_too_long
+                                               : InfeasibleReason::image_too_long;
 }
 
-// The job as it is recorded: names become ids, and the tasks are distributed over the partitions.
+// Builds the job's record: interns its names and distributes its tasks over the partitions.
 jobs::JobRecord make_record(ControllerState& state, const wire::Submission& submission, core::TimePoint now,
                             double wall_s) {
   jobs::JobRecord record;
@@ -44,9 +45,9 @@
   spec.team = *state.names.teams.find(submission.team);
   spec.image = state.names.images.intern(submission.image);
   if (submission.zone) spec.zone = state.names.zones.intern(*submission.zone);
-  if (submission.types) {
+  if (submission.allowed_types) {
     spec.types.emplace();
-    for (const auto& name : *submission.types)
+    for (const auto& name : *submission.allowed_types)
       if (const auto id = state.names.types.find(name); id && state.fleet.machine_type(*id))
         spec.types->push_back(*id);
   }
@@ -57,63 +58,64 @@
 
 }  // namespace
 
-std::string_view text_of(Impossible reason) {
+std::string_view error_text(InfeasibleReason reason) {
   switch (reason) {
-    case Impossible::unknown_team:
+    case InfeasibleReason::unknown_team:
       return "unknown team";
-    case Impossible::fits_no_machine_type:
+    case InfeasibleReason::fits_no_machine_type:
       return "a task fits no allowed machine type";
-    case Impossible::over_team_limit:
+    case InfeasibleReason::over_team_limit:
       return "the job needs more than its team's limit";
-    case Impossible::one_zone_and_spread:
-      return "together and scatter exclude each other";
-    case Impossible::no_second_zone:
-      return "scatter needs a second zone that allows its tasks";
-    case Impossible::too_many_to_start_at_once:
-      return "pieces: more than can be recorded to start together";
-    case Impossible::types_too_long:
+    case InfeasibleReason::single_zone_with_spread:
+      return "together and scatter are mutually exclusive";
+    case InfeasibleReason::spread_needs_second_zone:
+      return "scatter needs a second zone in which a task fits an allowed machine type";
+    case InfeasibleReason::gang_too_large:
+      return "pieces: too many tasks for a gang to be recorded at once";
+    case InfeasibleReason::types_too_long:
       return "racks: too long to be recorded";
-    case Impossible::image_too_long:
+    case InfeasibleReason::image_too_long:
       return "plate: too long to be recorded";
   }
   return "";
 }
 
-std::optional<Impossible> why_never_runs(const ControllerState& state, const wire::Submission& submission) {
+std::optional<InfeasibleReason> infeasible_reason(const ControllerState& state,
+                                                  const wire::Submission& submission) {
   const auto& spec = submission.spec;
   const auto& teams = state.settings.teams;
   const auto team = std::find_if(teams.begin(), teams.end(),
                                  [&](const auto& candidate) { return candidate.name == submission.team; });
-  if (team == teams.end()) return Impossible::unknown_team;
-  const auto zones = zones_that_fit(state, submission);
-  if (zones.empty()) return Impossible::fits_no_machine_type;
+  if (team == teams.end()) return InfeasibleReason::unknown_team;
+  const auto zones = feasible_zones(state, submission);
+  if (zones.empty()) return InfeasibleReason::fits_no_machine_type;
   const double tasks_at_once = spec.needs_all_tasks() ? spec.tasks : 1;
-  const sched::TeamQuota empty{{}, team->cpus_max, team->gpus_max};
-  if (!empty.allows(spec.need * tasks_at_once)) return Impossible::over_team_limit;
+  const sched::TeamQuota unused_quota{{}, team->cpus_max, team->gpus_max};
+  if (!unused_quota.allows(spec.need * tasks_at_once)) return InfeasibleReason::over_team_limit;
   const bool spreads = spec.needs_all_tasks() && spec.spread && spec.tasks > 1;
-  if (spreads && spec.one_zone) return Impossible::one_zone_and_spread;
-  if (spreads && zones.size() < 2) return Impossible::no_second_zone;
+  if (spreads && spec.one_zone) return InfeasibleReason::single_zone_with_spread;
+  if (spreads && zones.size() < 2) return InfeasibleReason::spread_needs_second_zone;
   if (spec.gang() &&
       spec.tasks > assignments::AssignmentWriter::most_assignments(state.settings.state_limits))
-    return Impossible::too_many_to_start_at_once;
+    return InfeasibleReason::gang_too_large;
   return std::nullopt;
 }
 
 Admission decide_admission(ControllerState& state, const wire::Submission& submission, core::TimePoint now,
                            double wall_s) {
-  if (state.find_job(submission.id)) return AlreadyKnown{};
-  if (!state.loaded || state.fleet.machine_types.empty()) return NotReady{};
-  if (const auto reason = why_never_runs(state, submission)) return NeverRuns{*reason};
-  if (submission.spec.standing() && !state.all_members_know(state::kStandingJobs))
-    return TooEarlyForUpgrade{};
+  if (state.find_job(submission.id)) return AlreadyAccepted{};
+  if (!state.cache_loaded || state.fleet.machine_types.empty()) return NotReady{};
+  if (const auto reason = infeasible_reason(state, submission)) return Infeasible{*reason};
+  if (submission.spec.standing() && !state.all_members_support(state::kStandingJobs))
+    return AwaitingUpgrade{};
 
   const auto record = make_record(state, submission, now, wall_s);
   for (const auto& range : record.ranges)
-    state.load.waiting.at(range.partition.index) +=
+    state.cluster_load.waiting_demand.at(range.partition.index) +=
         record.spec.need * static_cast<double>(range.to - range.from);
   auto value = jobs::to_json(record, state.names);
   if (boost::json::serialize(value).size() > state.settings.state_limits.value_bytes())
-    return NeverRuns{longest_field(submission)};
+    return Infeasible{record_too_long_reason(submission)};
   Admitted admitted;
   admitted.transaction.compares.push_back({state::keys::job(submission.id), 0});
   admitted.transaction.writes.push_back({state::keys::job(submission.id), std::move(value)});
@@ -122,15 +124,15 @@
 
 CancellationDecision decide_cancellation(const ControllerState& state, const std::string& job) {
   const auto id = state.names.jobs.find(job);
-  const auto* known = id ? state.cache.job(*id) : nullptr;
-  if (!known) return UnknownJob{};
-  if (known->status != jobs::Status::live) return AlreadyOver{*id};
+  const auto* record = id ? state.cache.job(*id) : nullptr;
+  if (!record) return UnknownJob{};
+  if (record->status != jobs::Status::live) return AlreadyFinished{*id};
   jobs::JobRecord cancelled;
   cancelled.status = jobs::Status::cancelled;
-  cancelled.spec = known->spec;
+  cancelled.spec = record->spec;
   Cancellable decision;
   decision.job = *id;
-  decision.transaction.compares.push_back({state::keys::job(job), known->revision});
+  decision.transaction.compares.push_back({state::keys::job(job), record->revision});
   decision.transaction.writes.push_back({state::keys::job(job), jobs::to_json(cancelled, state.names)});
   return decision;
 }
--- a/src/gateway/admission.hpp
+++ b/src/gateway/admission.hpp
@@ -1,4 +1,4 @@
-// What becomes of a submission or a cancellation, decided from the state alone: nothing here talks to anyone.
+// Decides on submissions and cancellations, from the shared state alone. Does no I/O.
 #pragma once
 
 #include <optional>
@@ -12,60 +12,60 @@
 
 namespace finchrun::gateway {
 
-/// Why a job can never run in this deployment. Each is final to the user: 422.
-enum class Impossible {
+/// Why a job can never run in this deployment. The user gets status 422, which is final.
+enum class InfeasibleReason {
   unknown_team,
-  fits_no_machine_type,       ///< no allowed type in an allowed zone holds even one task
-  over_team_limit,            ///< what has to run at the same time is more than the team may ever book
-  one_zone_and_spread,        ///< asks for one zone and for several
-  no_second_zone,             ///< asks for several zones, and only one can hold its tasks
-  too_many_to_start_at_once,  ///< a gang of more assignments than one transaction may record
-  types_too_long,             ///< the record would exceed the store's limit on values, mostly by the types
-  image_too_long,             ///< the same, mostly by the image's name
+  fits_no_machine_type,      ///< no allowed type in an allowed zone holds even one task
+  over_team_limit,           ///< the tasks that must run at the same time exceed the team's limit
+  single_zone_with_spread,   ///< requests both a single zone and several zones
+  spread_needs_second_zone,  ///< requests several zones, but its tasks fit in one only
+  gang_too_large,            ///< one transaction can't record the assignments of all of its tasks
+  types_too_long,            ///< the record exceeds the store's value limit, mostly because of the types
+  image_too_long,            ///< the record exceeds the store's value limit, mostly because of the image name
 };
-/// The text that the user gets.
-std::string_view text_of(Impossible reason);
+/// The error text for the user.
+std::string_view error_text(InfeasibleReason reason);
 
-/// The job was accepted before: its state is the answer, so that a repeated submission is idempotent.
-struct AlreadyKnown {};
+/// The job was accepted before. The answer is its state, so that submissions are idempotent.
+struct AlreadyAccepted {};
 /// The job can never run, as far as this controller's copy of the state shows.
-struct NeverRuns {
-  Impossible reason;
+struct Infeasible {
+  InfeasibleReason reason;
 };
-/// The state or the machine types have not been read yet.
+/// The state or the machine types have not been loaded yet.
 struct NotReady {};
-/// A service, while some controller of an earlier version runs: it would take the replicas for tasks that
-/// end.
-struct TooEarlyForUpgrade {};
-/// The job is to be accepted by this transaction. It compares that no record of the job exists, so of two
-/// submissions at the same time one conflicts.
+/// The job is a service, and a controller of an earlier version is running, which would treat the replicas as
+/// tasks that complete.
+struct AwaitingUpgrade {};
+/// The job is accepted once this transaction is committed. The transaction fails if the job is already
+/// recorded, so that of two concurrent submissions one conflicts.
 struct Admitted {
   state::Transaction transaction;
 };
-using Admission = std::variant<AlreadyKnown, NeverRuns, NotReady, TooEarlyForUpgrade, Admitted>;
+using Admission = std::variant<AlreadyAccepted, Infeasible, NotReady, AwaitingUpgrade, Admitted>;
 
-/// Nothing if the deployment can run the job; else why it never can. `state` must know the machine types.
-std::optional<Impossible> why_never_runs(const controller::ControllerState& state,
-                                         const wire::Submission& submission);
+/// The reason why the deployment can never run the job; empty if it can. `state` must have the machine types.
+std::optional<InfeasibleReason> infeasible_reason(const controller::ControllerState& state,
+                                                  const wire::Submission& submission);
 
-/// Decides on a submission. If it is to be recorded, its names are interned and its tasks are counted as
-/// waiting in `state.load`, so that submissions of the next moment are distributed with them in view.
-/// `wall_s`: seconds since 1970, recorded as the time of submission.
+/// Decides on a submission. For a feasible job, interns its names and adds its tasks to the waiting demand in
+/// `state.cluster_load`, so that the next submissions are distributed accordingly. `wall_s`: seconds since
+/// 1970, recorded as the time of submission.
 Admission decide_admission(controller::ControllerState& state, const wire::Submission& submission,
                            core::TimePoint now, double wall_s);
 
-/// No record of the job is known here; that proves nothing until a linearizable read.
+/// The state cache has no record of the job. Only a linearizable read proves that there is none.
 struct UnknownJob {};
-/// The job is done or cancelled, which can't change any more.
-struct AlreadyOver {
+/// The job is done or cancelled; both states are final.
+struct AlreadyFinished {
   core::JobId job;
 };
-/// The job lives: this transaction cancels it, provided that its record is still of the revision known here.
+/// The job is live. This transaction cancels it, unless its record has changed since the cached revision.
 struct Cancellable {
   core::JobId job;
   state::Transaction transaction;
 };
-using CancellationDecision = std::variant<UnknownJob, AlreadyOver, Cancellable>;
+using CancellationDecision = std::variant<UnknownJob, AlreadyFinished, Cancellable>;
 
 CancellationDecision decide_cancellation(const controller::ControllerState& state, const std::string& job);
 
--- a/src/gateway/agent_commands.hpp
+++ b/src/gateway/agent_commands.hpp
@@ -1,4 +1,4 @@
-// Commands that go straight to agents, and what their answers show.
+// Sends direct commands to agents and handles the answers.
 #pragma once
 
 #include <vector>
@@ -12,20 +12,20 @@
 
 namespace asio = boost::asio;
 
-/// Sends commands to agents without waiting for their next heartbeat. The answer to a command is a heartbeat
-/// too, and is handled as one.
+/// Sends commands to agents without waiting for their next heartbeat. Each answer is a heartbeat and is
+/// handled as one.
 class AgentCommands {
  public:
   AgentCommands(controller::Runtime& runtime, controller::SharedState& state, http::Network& network,
                 controller::Wakeup& writer_wakeup)
       : runtime_(runtime), state_(state), network_(network), writer_wakeup_(writer_wakeup) {}
 
-  /// Probes machines whose agent does not know our fencing token or may be unreachable, until the process
-  /// ends.
+  /// Probes machines whose agent does not know this controller's fencing token or may be unreachable. Runs
+  /// until the process ends.
   asio::awaitable<void> run_probes();
-  /// Sends the commands; `starts` are those among them that start tasks. Starts that have become void since
-  /// they were recorded are left out. Best effort: what gets no answer stays noted in `Fleet::direct_starts`,
-  /// and heartbeats show what became of it.
+  /// Sends the commands; `starts` lists the attempts that they start. Omits starts that have become void
+  /// since they were recorded. Best effort: an unanswered start stays in `Fleet::direct_starts`, and later
+  /// heartbeats show whether it was executed.
   asio::awaitable<void> send(core::MachineId machine, std::vector<wire::Command> commands,
                              std::vector<agent::TaskAttempt> starts);
 
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -22,17 +22,17 @@
 struct RefusalResponse {
   http::Response operator()(const OutsideDeployment&) const { return redirect_to(std::nullopt); }
   http::Response operator()(const LedElsewhere& elsewhere) const { return redirect_to(elsewhere.leader); }
-  http::Response operator()(const NoLeader&) const { return retry_later("no owner"); }
+  http::Response operator()(const NoLeader&) const { return retry_later("partition has no leader"); }
   http::Response operator()(const CancellationsUnknown&) const {
-    return retry_later("no news from the state service");
+    return retry_later("state service unavailable");
   }
-  http::Response operator()(const MachineDeleted&) const { return retry_later("machine was returned"); }
+  http::Response operator()(const MachineDeleted&) const { return retry_later("machine was deleted"); }
 };
 
-// What the agent says of its machine itself.
-agent::Machine& describe_machine(ControllerState& state, const wire::Heartbeat& heartbeat,
-                                 core::PartitionId partition, core::TimePoint now) {
-  auto& machine = state.fleet.see(state.names, heartbeat.machine, now);
+// Updates the machine's type, zone and partition from the heartbeat.
+agent::Machine& update_machine(ControllerState& state, const wire::Heartbeat& heartbeat,
+                               core::PartitionId partition, core::TimePoint now) {
+  auto& machine = state.fleet.mark_seen(state.names, heartbeat.machine, now);
   machine.type = state.names.types.intern(heartbeat.type);
   machine.zone = state.partitions.zone(partition);
   machine.partition = partition;
@@ -49,17 +49,17 @@
 http::Response AgentGateway::handle_heartbeat(const std::string& body) {
   const auto parsed = wire::parse_heartbeat(body);
   if (const auto* malformed = std::get_if<wire::Malformed>(&parsed))
-    return error_response(http::status::kBadRequest, malformed->why);
+    return error_response(http::status::kBadRequest, malformed->reason);
   const auto& heartbeat = std::get<wire::Heartbeat>(parsed);
   const auto now = core::Steady::now();
-  bool changed = false;
+  bool exits_observed = false;
   auto response = state_.with([&](ControllerState& state) {
     const auto partition = partition_of(state, heartbeat);
-    if (const auto refusal = why_not_answered(state, heartbeat, partition, now))
+    if (const auto refusal = find_refusal(state, heartbeat, partition, now))
       return std::visit(RefusalResponse{}, *refusal);
-    auto& machine = describe_machine(state, heartbeat, *partition, now);
-    auto result = state.take(machine, heartbeat, now, false);
-    if (result.kind == agent::HeartbeatResult::Kind::deposed) {
+    auto& machine = update_machine(state, heartbeat, *partition, now);
+    auto result = state.apply_heartbeat(machine, heartbeat, now, false);
+    if (result.kind == agent::HeartbeatResult::Kind::superseded) {
       spdlog::debug(
           "heartbeat refused machine={} partition={} fencing_token={} agent_fencing_token={} "
           "reason=agent_obeys_newer_leader",
@@ -67,14 +67,13 @@
           heartbeat.fencing_token);
       return redirect_to(std::nullopt);
     }
-    changed = result.changed;
-    // An older heartbeat changes nothing and is answered without commands: an answer to one of our direct
-    // commands may have overtaken it, and turning its agent away would only send it round the other
-    // controllers.
+    exits_observed = result.exits_observed;
+    // An outdated heartbeat changes nothing and is answered without commands. The answer to a direct command
+    // may have overtaken it, and a refusal would make its agent try all other controllers in turn.
     return http::Response{http::status::kOk,
                           wire::render_commands(state.fencing_token(*partition), result.commands)};
   });
-  if (changed) writer_wakeup_.notify();
+  if (exits_observed) writer_wakeup_.notify();
   return response;
 }
 
@@ -86,11 +85,11 @@
   return state_.with([&](ControllerState& state) -> std::optional<std::size_t> {
     const auto partition = partition_of(state, *heartbeat);
     if (!partition) return std::nullopt;
-    auto& machine = state.fleet.see(state.names, heartbeat->machine, now);
+    auto& machine = state.fleet.mark_seen(state.names, heartbeat->machine, now);
     const auto forwarding =
         decide_forwarding(machine, *heartbeat, state.fencing_token(*partition), state.settings.report_s, now);
-    machine.relayed = forwarding == Forwarding::relay_unasked;
-    if (!machine.relayed) machine.redirected_at = now;
+    machine.relayed_without_redirect = forwarding == Forwarding::relay_without_redirect;
+    if (!machine.relayed_without_redirect) machine.redirected_at = now;
     const auto& leader = state.cache.leadership(*partition).leader;
     const bool relay = forwarding != Forwarding::redirect;
     spdlog::debug("heartbeat {} machine={} partition={} leader={}", relay ? "relayed" : "redirected",
@@ -102,7 +101,7 @@
   });
 }
 
-asio::awaitable<http::Response> AgentGateway::receive(std::string body) {
+asio::awaitable<http::Response> AgentGateway::handle_request(std::string body) {
   http::Response response = handle_heartbeat(body);
   if (response.status != http::status::kMisdirectedRequest) co_return response;
   const auto leader = peer_to_relay_to(body);
@@ -110,7 +109,7 @@
   std::string request = relay_frame(body);
   const auto frame = co_await peers_.link(*leader).call(std::move(request), kRelayTimeout);
   const auto reply = coordination::read_relayed_response(frame);
-  // Not relayed: the agent goes on trying by itself.
+  // If the relay failed, the agent gets the redirect and retries by itself.
   if (reply.status == http::status::kOk) response = {http::status::kOk, reply.body};
   co_return response;
 }
--- a/src/gateway/agent_gateway.hpp
+++ b/src/gateway/agent_gateway.hpp
@@ -1,5 +1,5 @@
-// The agents' interface: heartbeats are answered by the leader of the machine's partition; others redirect
-// the agent to that leader or relay for it.
+// The HTTP interface for agents. The leader of the machine's partition answers a heartbeat; other controllers
+// redirect the agent to the leader or relay the heartbeat there.
 #pragma once
 
 #include <optional>
@@ -15,22 +15,23 @@
 namespace asio = boost::asio;
 
 /// Handles `POST /hello`. Only the leader of a machine's partition answers its agent with commands, and only
-/// while it knows of all cancellations that any user has been told of (rules `ran_twice`, `ran_cancelled`).
+/// while it knows all cancellations that were confirmed to users (rules `ran_twice`, `ran_cancelled`).
 class AgentGateway {
  public:
   AgentGateway(controller::SharedState& state, coordination::PeerTable& peers,
                const config::Settings& settings, controller::Wakeup& writer_wakeup)
       : state_(state), peers_(peers), settings_(settings), writer_wakeup_(writer_wakeup) {}
 
-  /// A heartbeat that an agent sent to this controller: handled here, relayed, or redirected (421).
-  asio::awaitable<http::Response> receive(std::string body);
-  /// Handles a heartbeat as the leader of its partition: 200 with the commands; 421, naming the leader if it
-  /// is known, or 503 if this controller may not; 400 if it is malformed. Also for what peers relay.
+  /// Handles a heartbeat that an agent sent to this controller, relays it, or redirects the agent (421).
+  asio::awaitable<http::Response> handle_request(std::string body);
+  /// Handles a heartbeat from an agent or relayed by a peer, as the leader of its partition. Returns 200 with
+  /// the commands, 400 if the heartbeat is malformed, or, if this controller may not answer it, 503 or 421
+  /// with the leader if known.
   http::Response handle_heartbeat(const std::string& body);
 
  private:
-  // The peer to relay a heartbeat to: the leader of the machine's partition, when the agent seems not to get
-  // there by itself. Nothing if it should go there.
+  // The peer to relay a heartbeat to: the leader of the machine's partition, if the agent seems unable to
+  // reach it. Empty if the agent should be redirected.
   std::optional<std::size_t> peer_to_relay_to(const std::string& body);
 
   controller::SharedState& state_;
--- a/src/gateway/cancellation_stops.cpp
+++ b/src/gateway/cancelled_task_stopper.cpp
@@ -1,4 +1,4 @@
-#include "gateway/cancellation_stops.hpp"
+#include "gateway/cancelled_task_stopper.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 
 using controller::ControllerState;
 
-asio::awaitable<void> CancellationStops::run() {
+asio::awaitable<void> CancelledTaskStopper::run() {
   constexpr double kRoundS = 0.2;
   while (true) {
     co_await runtime_.sleep(kRoundS);
@@ -24,7 +24,8 @@
   }
 }
 
-asio::awaitable<void> CancellationStops::stop(core::MachineId machine, std::vector<wire::Command> commands) {
+asio::awaitable<void> CancelledTaskStopper::stop(core::MachineId machine,
+                                                 std::vector<wire::Command> commands) {
   const auto counted = in_flight_.take();
   std::vector<agent::TaskAttempt> no_starts;
   co_await commands_.send(machine, std::move(commands), std::move(no_starts));
--- a/src/gateway/cancellation_stops.hpp
+++ b/src/gateway/cancelled_task_stopper.hpp
@@ -1,4 +1,4 @@
-// Stops the tasks of cancelled jobs by direct commands, whether or not the key-value store answers.
+// Stops the tasks of cancelled jobs by direct commands, also while the key-value store is unavailable.
 #pragma once
 
 #include "controller/controller_state.hpp"
@@ -10,13 +10,13 @@
 
 namespace asio = boost::asio;
 
-/// Sends stops for every task of a cancelled job that may still be on a machine, again with back-off until a
-/// heartbeat proves the task gone. Agents also learn of a cancellation by the answers to their heartbeats; a
-/// direct stop reaches one whose heartbeats reach nobody, and follows a start that is held up on its way,
-/// under the same fencing token.
-class CancellationStops {
+/// Sends stop commands for every task of a cancelled job that may still be on a machine, and repeats them
+/// with backoff until a heartbeat proves the task gone. The answers to heartbeats also carry stop commands; a
+/// direct one reaches an agent whose heartbeats reach no controller, and stops a task whose delayed start
+/// command arrives first, under the same fencing token.
+class CancelledTaskStopper {
  public:
-  CancellationStops(controller::Runtime& runtime, controller::SharedState& state, AgentCommands& commands)
+  CancelledTaskStopper(controller::Runtime& runtime, controller::SharedState& state, AgentCommands& commands)
       : runtime_(runtime), state_(state), commands_(commands) {}
 
   /// Runs until the process ends.
--- a/src/gateway/direct_commands.cpp
+++ b/src/gateway/direct_commands.cpp
@@ -13,35 +13,35 @@
 
 using controller::ControllerState;
 
-constexpr std::size_t kProbesAtOnce = 16;
-// Pause between probes of one machine: shorter while its agent does not know our fencing token, since nothing
-// can be proved about the machine before.
-constexpr double kProbePauseS = 5, kUrgentProbePauseS = 2.5;
-
-// Cut from its agents, a leader still has their heartbeats by way of others. Each start that it sent straight
-// got no answer, so a new fencing token was needed to make it void, every eleven seconds while the cut
-// lasted. The answers to heartbeats start what is recorded, and need none.
-bool starts_by_heartbeat_only(const agent::Machine& machine, core::TimePoint now) {
-  constexpr double kDirectStartsPauseS = 20;
+constexpr std::size_t kMaxProbesPerRound = 16;
+// Time between probes of one machine. It is shorter while the agent does not know this controller's fencing
+// token, since nothing can be proved about the machine's tasks before.
+constexpr double kProbeIntervalS = 5, kUrgentProbeIntervalS = 2.5;
+
+// A leader that can't connect to its agents still gets their heartbeats through relays. Without this pause,
+// each direct start stayed unanswered and needed a new fencing token to make it void, every eleven seconds
+// while the network was partitioned. Tasks are started by the answers to heartbeats meanwhile.
+bool direct_starts_suspended(const agent::Machine& machine, core::TimePoint now) {
+  constexpr double kSuspendDirectStartsS = 20;
   return machine.direct_command_failed_at &&
-         core::since(*machine.direct_command_failed_at, now) < kDirectStartsPauseS;
+         core::since(*machine.direct_command_failed_at, now) < kSuspendDirectStartsS;
 }
 
-// An agent that may be asked for its state: of a machine that we lead and that has not been given up.
-bool may_be_probed(const ControllerState& state, const agent::Machine& machine) {
+// True if the machine's partition is led here, its agent's address is known, and it is not being deleted.
+bool can_be_probed(const ControllerState& state, const agent::Machine& machine) {
   return machine.partition.valid() && state.leads(machine.partition) && !machine.endpoint.empty() &&
-         !machine.terminating && !machine.gone;
+         !machine.terminating && !machine.deleted;
 }
 
-// The start stands recorded for the incarnation that runs, and its job lives.
-bool still_valid(const ControllerState& state, const agent::Machine& machine,
-                 const agent::TaskAttempt& start) {
+// True if the start is recorded for the agent's current incarnation, and its job is live.
+bool is_still_valid(const ControllerState& state, const agent::Machine& machine,
+                    const agent::TaskAttempt& start) {
   const auto [job, task, attempt] = start;
   const auto* record = state.cache.job(job);
-  // Cancelled since the placement was recorded: started now, it would run after its user was told.
+  // A task of a job cancelled since the placement would run after the cancellation was confirmed to its user.
   if (!record || record->status != jobs::Status::live) return false;
-  // The agent may have gone on to its next incarnation since the placement was recorded. The command, sent
-  // for the new incarnation, would start a task whose assignment that very incarnation shows to be gone.
+  // The agent may be in a newer incarnation since the placement was recorded. The command would start a task
+  // in that incarnation whose assignment the same incarnation proves to be gone.
   const auto& assignments = state.cache.on_machine(machine.id);
   const jobs::TaskAssignment recorded{task, attempt, machine.id, machine.agent_incarnation};
   return std::any_of(assignments.begin(), assignments.end(), [&, job = job](const auto& placed) {
@@ -95,21 +95,21 @@
 }
 
 std::vector<core::MachineId> machines_to_probe(const ControllerState& state, core::TimePoint now) {
-  // Ordered as the probes go out: whether the agent obeys us, when it was last probed, which machine.
+  // In the order of probing: whether the agent obeys this controller, its last probe, its machine.
   std::vector<std::tuple<bool, core::TimePoint, core::MachineId>> due;
-  for (const auto& [id, machine] : state.fleet.all()) {
-    if (!may_be_probed(state, machine)) continue;
-    const bool silent =
-        state.silent_s(machine, now) > state.settings.lease_s && !state.cache.on_machine(id).empty();
+  for (const auto& [id, machine] : state.fleet.machines()) {
+    if (!can_be_probed(state, machine)) continue;
+    const bool silent = state.seconds_since_heartbeat(machine, now) > state.settings.lease_s &&
+                        !state.cache.on_machine(id).empty();
     const bool obeys =
         machine.has_heartbeat && machine.fencing_token >= state.fencing_token(machine.partition);
-    if (obeys && !machine.unreachable() && !silent) continue;
+    if (obeys && !machine.is_unreachable() && !silent) continue;
     if (!machine.has_heartbeat && machine.status == "starting") continue;
-    if (core::since(machine.last_probe, now) < (obeys ? kProbePauseS : kUrgentProbePauseS)) continue;
+    if (core::since(machine.last_probe, now) < (obeys ? kProbeIntervalS : kUrgentProbeIntervalS)) continue;
     due.emplace_back(obeys, machine.last_probe, id);
   }
   std::sort(due.begin(), due.end());
-  if (due.size() > kProbesAtOnce) due.resize(kProbesAtOnce);
+  if (due.size() > kMaxProbesPerRound) due.resize(kMaxProbesPerRound);
   std::vector<core::MachineId> machines;
   for (const auto& [obeys, last_probe, id] : due) machines.push_back(id);
   return machines;
@@ -117,9 +117,9 @@
 
 void drop_void_starts(const ControllerState& state, const agent::Machine& machine, core::TimePoint now,
                       std::vector<wire::Command>& commands, std::vector<agent::TaskAttempt>& starts) {
-  const bool none_now = starts_by_heartbeat_only(machine, now);
+  const bool suspended = direct_starts_suspended(machine, now);
   std::erase_if(starts, [&](const agent::TaskAttempt& start) {
-    if (!none_now && still_valid(state, machine, start)) return false;
+    if (!suspended && is_still_valid(state, machine, start)) return false;
     const auto& [job, task, attempt] = start;
     const auto& job_name = state.names.jobs.name(job);
     std::erase_if(commands, [&, task = task, attempt = attempt](const wire::Command& command) {
@@ -130,11 +130,11 @@
   });
 }
 
-bool note_answer(ControllerState& state, core::MachineId id, std::uint64_t addressed_incarnation,
-                 const CommandAnswer& answer, core::TimePoint now) {
+bool apply_answer(ControllerState& state, core::MachineId id, std::uint64_t addressed_incarnation,
+                  const CommandAnswer& answer, core::TimePoint now) {
   auto* machine = state.fleet.find(id);
   if (!machine) return false;
-  const bool was_unreachable = machine->unreachable();
+  const bool was_unreachable = machine->is_unreachable();
   if (!answer.heartbeat) {
     if (answer.delivery != Delivery::no_answer) return false;
     machine->direct_command_failed_at = now;
@@ -146,13 +146,13 @@
     return false;
   }
   machine->direct_command_failed_at.reset();
-  // The answer is a heartbeat like any other, and the newest: a new leader need not wait for the next one.
-  const bool changed = state.take(*machine, *answer.heartbeat, now, true).changed;
-  machine->heard();
+  // The answer is handled like a heartbeat, so that a new leader need not wait for the next one.
+  const bool exits_observed = state.apply_heartbeat(*machine, *answer.heartbeat, now, true).exits_observed;
+  machine->mark_reachable();
   if (was_unreachable)
     spdlog::info("machine reachable machine={} agent_incarnation={} reason=direct_command_answered",
                  machine->name, machine->agent_incarnation);
-  return changed;
+  return exits_observed;
 }
 
 }  // namespace finchrun::gateway
--- a/src/gateway/direct_commands.hpp
+++ b/src/gateway/direct_commands.hpp
@@ -1,5 +1,5 @@
-// What is decided about commands that go straight to agents, from the state alone: which machines to probe,
-// which starts may still leave, and what an answer shows.
+// Decisions about direct commands to agents: which machines to probe, which starts may still be sent, and how
+// to interpret an answer. Does no I/O.
 #pragma once
 
 #include <optional>
@@ -10,21 +10,21 @@
 
 namespace finchrun::gateway {
 
-/// What became of commands that were sent straight to an agent.
+/// The outcome of sending direct commands to an agent.
 enum class Delivery {
-  not_sent,           ///< we don't lead the machine's partition any more, or know no address of its agent
-  no_answer,          ///< they may be carried out at any later time under their fencing token
-  executed,           ///< and the agent's answer is a heartbeat
+  not_sent,           ///< this controller no longer leads the partition, or the agent's address is unknown
+  no_answer,          ///< the agent may execute the commands at any later time under their fencing token
+  executed,           ///< the agent answered with a heartbeat
   other_incarnation,  ///< not executed: the agent is in another incarnation than the one addressed
-  malformed,          ///< not executed: the agent could not read them
-  unexpected,         ///< an answer that proves nothing, for example from something between us and the agent
+  malformed,          ///< not executed: the agent could not parse the commands
+  unexpected,         ///< the answer proves nothing, for example because it comes from a proxy
 };
 const char* name_of(Delivery delivery);
 
 /// The answer to direct commands.
 struct CommandAnswer {
   Delivery delivery = Delivery::not_sent;
-  std::optional<wire::Heartbeat> heartbeat;  ///< of `executed`, and of `other_incarnation` if it can be read
+  std::optional<wire::Heartbeat> heartbeat;  ///< for `executed`, and for `other_incarnation` if readable
   /// Sequence number of the answer, if the commands were executed.
   [[nodiscard]] std::optional<std::uint64_t> sequence() const {
     if (delivery != Delivery::executed) return std::nullopt;
@@ -34,22 +34,22 @@
 
 CommandAnswer interpret_answer(const http::Answer& answer);
 
-/// The machines whose agents should be probed now, 16 at most: first those that do not know our fencing
-/// token, then whoever was probed longest ago. Rule `ran_twice` rests on agents that know the newest fencing
-/// token, and a machine that is silent past its lease may only be unable to reach us: its next incarnation,
-/// seen in an answer, proves its tasks gone.
+/// Returns up to 16 machines whose agents should be probed now: first those that do not know this
+/// controller's fencing token, then those with the oldest probe. Rule `ran_twice` requires that agents know
+/// the newest fencing token. A machine that has been silent for longer than its lease is probed because it
+/// may only be unable to reach the controller; a newer incarnation in its answer proves its tasks gone.
 std::vector<core::MachineId> machines_to_probe(const controller::ControllerState& state, core::TimePoint now);
 
-/// Takes out the starts, and their commands, that must not be sent to the machine (any more): of jobs that
-/// are over, of assignments that are recorded no more or for another incarnation of the agent; and all of
-/// them for a while after a direct command got no answer.
+/// Removes the starts, with their commands, that must not be sent to the machine: those of jobs that are not
+/// live, and of assignments that are no longer recorded or recorded for another incarnation of the agent.
+/// Removes all starts for a while after a direct command got no answer.
 void drop_void_starts(const controller::ControllerState& state, const agent::Machine& machine,
                       core::TimePoint now, std::vector<wire::Command>& commands,
                       std::vector<agent::TaskAttempt>& starts);
 
-/// Notes in the state what the answer shows of the machine. `addressed_incarnation`: the one that the
-/// commands were for. True if there is something new to record.
-bool note_answer(controller::ControllerState& state, core::MachineId machine,
-                 std::uint64_t addressed_incarnation, const CommandAnswer& answer, core::TimePoint now);
+/// Updates the machine from the answer. `addressed_incarnation`: the incarnation that the commands were sent
+/// to. Returns true if exits were observed and have to be recorded.
+bool apply_answer(controller::ControllerState& state, core::MachineId machine,
+                  std::uint64_t addressed_incarnation, const CommandAnswer& answer, core::TimePoint now);
 
 }  // namespace finchrun::gateway
--- a/src/gateway/due_stops.cpp
+++ b/src/gateway/due_stops.cpp
@@ -8,19 +8,19 @@
 
 using controller::ControllerState;
 
-constexpr double kFirstPauseS = 1, kLongestPauseS = 8;
+constexpr double kInitialBackoffS = 1, kMaxBackoffS = 8;
 
-double pause_after(int tries) {
-  constexpr int kMostDoublings = 4;
-  return std::min(kLongestPauseS, kFirstPauseS * (1 << std::min(tries, kMostDoublings)));
+double backoff_s(int attempts) {
+  constexpr int kMaxDoublings = 4;
+  return std::min(kMaxBackoffS, kInitialBackoffS * (1 << std::min(attempts, kMaxDoublings)));
 }
 
-// The task may run on a machine whose agent can be told to stop it.
+// True if the task may run on a machine whose agent is known, so that a stop command can be sent to it.
 bool may_run(const ControllerState& state, core::JobId job, core::PartitionId partition,
              const jobs::TaskAssignment& assignment) {
   const auto* machine = state.fleet.find(assignment.machine);
-  return machine && machine->has_heartbeat && !machine->gone &&
-         !state.fleet.ended(job, partition, assignment);
+  return machine && machine->has_heartbeat && !machine->deleted &&
+         !state.fleet.has_ended(job, partition, assignment);
 }
 
 }  // namespace
@@ -28,14 +28,14 @@
 StopsByMachine take_due_stops(ControllerState& state, std::size_t in_flight, core::TimePoint now,
                               const std::function<core::Steady::duration(double)>& jitter) {
   StopsByMachine stops;
-  const auto take = [&](core::JobId job, const jobs::TaskAssignment& assignment) {
+  const auto add_if_due = [&](core::JobId job, const jobs::TaskAssignment& assignment) {
     auto& retry = state.fleet.stop_retries[{job, assignment.task, assignment.attempt}];
-    if (retry.next > now) return;
-    if (in_flight + stops.size() >= kMostStopsInFlight && !stops.contains(assignment.machine)) return;
+    if (retry.next_at > now) return;
+    if (in_flight + stops.size() >= kMaxStopsInFlight && !stops.contains(assignment.machine)) return;
     auto& commands = stops[assignment.machine];
     if (commands.size() >= wire::kMaxCommands) return;
-    retry.next = now + jitter(pause_after(retry.tries));
-    ++retry.tries;
+    retry.next_at = now + jitter(backoff_s(retry.attempts));
+    ++retry.attempts;
     commands.push_back(
         {wire::Command::Kind::stop, state.names.jobs.name(job), assignment.task, assignment.attempt, 0});
   };
@@ -46,7 +46,7 @@
     state.cache.each_run(job, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
       if (!state.leads(partition)) return;
       for (const auto& assignment : run.assignments)
-        if (may_run(state, job, partition, assignment)) take(job, assignment);
+        if (may_run(state, job, partition, assignment)) add_if_due(job, assignment);
     });
   return stops;
 }
--- a/src/gateway/due_stops.hpp
+++ b/src/gateway/due_stops.hpp
@@ -1,4 +1,4 @@
-// Which stops of cancelled jobs' tasks are due, decided from the state alone.
+// Selects the stop commands for tasks of cancelled jobs that are due. Does no I/O.
 #pragma once
 
 #include <functional>
@@ -9,17 +9,17 @@
 
 namespace finchrun::gateway {
 
-/// Most machines to which stops are under way at the same time: each that does not answer holds a socket for
+/// Maximum number of machines with stop commands in flight: each one that does not answer holds a socket for
 /// seconds.
-inline constexpr std::size_t kMostStopsInFlight = 32;
+inline constexpr std::size_t kMaxStopsInFlight = 32;
 
-/// Stops to send now, by machine.
+/// Stop commands to send now, by machine.
 using StopsByMachine = std::map<core::MachineId, std::vector<wire::Command>>;
 
-/// The stops that are due: of each task of a cancelled job that may still be on a machine of ours, at once,
-/// then again and again with growing pauses of 1 to 8 s. Those that are returned are noted as sent; those
-/// that find `in_flight` machines too many are due again in the next round. `jitter` makes a pause of about
-/// so many seconds.
+/// Returns the stop commands that are due, for each task of a cancelled job that may still be on a machine of
+/// a partition led here: the first at once, the next with a backoff of 1 to 8 s. Returned commands are noted
+/// as sent; those above the limit, with `in_flight` machines counted, stay due. `jitter` returns a random
+/// duration around the given number of seconds.
 StopsByMachine take_due_stops(controller::ControllerState& state, std::size_t in_flight, core::TimePoint now,
                               const std::function<core::Steady::duration(double)>& jitter);
 
--- a/src/gateway/heartbeat_routing.cpp
+++ b/src/gateway/heartbeat_routing.cpp
@@ -10,33 +10,35 @@
   return zone ? state.partitions.partition_of(heartbeat.machine, *zone) : std::nullopt;
 }
 
-std::optional<HeartbeatRefusal> why_not_answered(const ControllerState& state,
-                                                 const wire::Heartbeat& heartbeat,
-                                                 std::optional<core::PartitionId> partition,
-                                                 core::TimePoint now) {
+std::optional<HeartbeatRefusal> find_refusal(const ControllerState& state, const wire::Heartbeat& heartbeat,
+                                             std::optional<core::PartitionId> partition,
+                                             core::TimePoint now) {
   if (!partition) return OutsideDeployment{};
   if (!state.leads(*partition)) {
     const auto& leader = state.cache.leadership(*partition).leader;
-    const bool elsewhere =
-        state.loaded && !leader.empty() && leader != state.settings.label && state.alive(leader);
-    if (!elsewhere) return NoLeader{};
+    const bool led_elsewhere = state.cache_loaded && !leader.empty() && leader != state.settings.label &&
+                               state.is_member_alive(leader);
+    if (!led_elsewhere) return NoLeader{};
     return LedElsewhere{leader};
   }
-  if (!state.may_renew_leases(now)) return CancellationsUnknown{};
+  if (!state.can_renew_leases(now)) return CancellationsUnknown{};
   if (state.fleet.was_deleted(state.names, heartbeat.machine)) return MachineDeleted{};
   return std::nullopt;
 }
 
 Forwarding decide_forwarding(const agent::Machine& machine, const wire::Heartbeat& heartbeat,
                              std::uint64_t leader_token, double heartbeat_interval_s, core::TimePoint now) {
-  // An agent that was sent away, waits for its answer in vain and tries the others is back within this.
-  const double back_within_s = 3 * heartbeat_interval_s + 8;
-  if (core::since(machine.redirected_at, now) < back_within_s) return Forwarding::relay_after_redirect;
-  // It obeys the leader's present fencing token and has come here all the same: it can't reach the leader any
-  // more. Sent there once more, it waited for a second time-out, and a lease of 10 s ran out meanwhile. Yet
-  // one that has only learnt the token from a direct command goes to the leader with its next heartbeat.
-  const bool knows_leader = heartbeat.fencing_token >= leader_token;
-  return knows_leader && !machine.relayed ? Forwarding::relay_unasked : Forwarding::redirect;
+  // An agent that gets no answer from the leader and then tries the other controllers returns within this
+  // time.
+  const double return_window_s = 3 * heartbeat_interval_s + 8;
+  if (core::since(machine.redirected_at, now) < return_window_s) return Forwarding::relay_after_redirect;
+  // An agent that obeys the leader's fencing token but contacts this controller can't reach the leader any
+  // more. After a redirect it would wait for a second timeout, during which a lease of 10 s expired. An agent
+  // that learned the token only from a direct command may reach the leader, so after a relayed heartbeat the
+  // next one is redirected.
+  const bool knows_leader_token = heartbeat.fencing_token >= leader_token;
+  return knows_leader_token && !machine.relayed_without_redirect ? Forwarding::relay_without_redirect
+                                                                 : Forwarding::redirect;
 }
 
 }  // namespace finchrun::gateway
--- a/src/gateway/job_api.cpp
+++ b/src/gateway/job_api.cpp
@@ -13,23 +13,23 @@
 using controller::ControllerState;
 using state::CommitStatus;
 
-// How long a user waits for a linearizable read before the answer is 503.
+// The timeout of a linearizable read, after which the user gets 503.
 constexpr auto kReadTimeout = 1200ms;
-// The same after a commit without an answer, which has taken part of the user's time already.
+// The timeout after an unanswered commit is shorter, since the user has already waited for the commit.
 constexpr auto kReadAfterCommitTimeout = 1000ms;
-// A cancellation is tried again, when the job's record has changed meanwhile, at most so long and so often.
+// Limits of the retries of a cancellation whose job's record has changed concurrently.
 constexpr auto kCancelTimeout = 3000ms;
-constexpr int kCancelAttempts = 5;
+constexpr int kMaxCancelAttempts = 5;
 
-// A newest read of the store that is older than this means that nothing can be proved at present.
-constexpr double kStoreSilenceS = 2.0;
-// Readiness: the view of the store is fresh, and a peer has been heard, within these.
-constexpr double kReadyStateAgeS = 3.0, kReadyPeerAgeS = 4.0;
-// An upgrade of all controllers takes a while: users are asked to wait longer than the usual second.
+// With an older state cache and no peer in touch with the store, requests are refused at once.
+constexpr double kMaxStateAgeS = 2.0;
+// Readiness: maximum age of the state cache, and of the last message from a peer.
+constexpr double kMaxReadyStateAgeS = 3.0, kMaxReadyPeerAgeS = 4.0;
+// Longer than the usual second, since an upgrade of all controllers takes a while.
 constexpr int kUpgradeRetryAfterS = 5;
 
-constexpr const char* kNoStoreText = "no news from the state service";
-constexpr const char* kUnknownStateText = "state unknown";
+constexpr const char* kStoreUnreachableText = "state service unavailable";
+constexpr const char* kStateUnknownText = "state unknown";
 constexpr const char* kNoSuchJobText = "no such job";
 
 }  // namespace
@@ -39,7 +39,7 @@
     const auto& name = state.names.jobs.name(id);
     const auto* job = state.cache.job(id);
     if (!job)
-      return state.cache.unreadable(id) ? retry_later(kUnknownStateText)
+      return state.cache.unreadable(id) ? retry_later(kStateUnknownText)
                                         : error_response(http::status::kNotFound, kNoSuchJobText);
     if (job->status == jobs::Status::cancelled)
       return http::Response{http::status::kOk, wire::render_status(name, "cancelled")};
@@ -52,35 +52,35 @@
   });
 }
 
-bool JobApi::knows(const std::string& job) {
+bool JobApi::job_exists(const std::string& job) {
   return state_.with([&](ControllerState& state) { return state.find_job(job) != nullptr; });
 }
 
-// In an outage shared by all, being taken out would only cost users a slow return: they are answered 503
-// either way. A controller that alone has no fresh view of the store, or that nobody answers any more, leaves
-// the users to the others: it would turn each of them away at once, have few connections for it, and so be
-// given the next ones too.
-bool JobApi::ready() {
+// During an outage of the store for all controllers, users get 503 from each of them, and taking one out of
+// the load balancer would only delay its return. A controller that alone has a stale state cache, or that no
+// peer answers, is not ready: it would refuse each request at once, and with its few open connections the
+// load balancer would send it the next requests too.
+bool JobApi::is_ready() {
   const auto now = core::Steady::now();
   const bool fresh = state_.with([&](ControllerState& state) {
-    return state.loaded && core::since(state.synchronized_at, now) < kReadyStateAgeS;
+    return state.cache_loaded && core::since(state.synchronized_at, now) < kMaxReadyStateAgeS;
   });
   if (fresh) return true;
-  const bool alone = !peers_.any_heard_within(kReadyPeerAgeS, now);
-  return !peers_.in_touch_with_store() && !(alone && !peers_.empty());
+  const bool isolated = !peers_.any_heard_within(kMaxReadyPeerAgeS, now);
+  return !peers_.in_touch_with_store() && !(isolated && !peers_.empty());
 }
 
-// Nothing can be proved or recorded at present, directly or through a peer: that is said at once.
-bool JobApi::out_of_touch_with_store() {
+// True if neither this controller nor a peer reaches the store. Requests are then refused at once.
+bool JobApi::is_store_unreachable() {
   const auto now = core::Steady::now();
   const bool stale = state_.with([&](ControllerState& state) {
-    return !state.loaded || core::since(state.synchronized_at, now) > kStoreSilenceS;
+    return !state.cache_loaded || core::since(state.synchronized_at, now) > kMaxStateAgeS;
   });
   return stale && !peers_.in_touch_with_store();
 }
 
 asio::awaitable<http::Response> JobApi::query(std::string id) {
-  // A final state can't change any more: the cache is proof enough.
+  // A final state can't change any more, so it is answered from the cache.
   const auto final_id = state_.with([&](ControllerState& state) -> std::optional<core::JobId> {
     const auto known = state.names.jobs.find(id);
     if (!known) return std::nullopt;
@@ -88,9 +88,9 @@
     return job && job->status != jobs::Status::live ? known : std::nullopt;
   });
   if (final_id) co_return status_of(*final_id);
-  if (out_of_touch_with_store()) co_return retry_later(kNoStoreText);
+  if (is_store_unreachable()) co_return retry_later(kStoreUnreachableText);
   if (!co_await follower_.linearizable_read(core::Steady::now() + kReadTimeout))
-    co_return retry_later(kUnknownStateText);
+    co_return retry_later(kStateUnknownText);
   const auto known = state_.with([&](ControllerState& state) { return state.names.jobs.find(id); });
   if (!known) co_return error_response(http::status::kNotFound, kNoSuchJobText);
   co_return status_of(*known);
@@ -99,23 +99,24 @@
 asio::awaitable<http::Response> JobApi::submit(std::string body) {
   auto parsed = wire::parse_submission(body);
   if (const auto* malformed = std::get_if<wire::Malformed>(&parsed))
-    co_return error_response(http::status::kBadRequest, malformed->why);
+    co_return error_response(http::status::kBadRequest, malformed->reason);
   const auto& submission = std::get<wire::Submission>(parsed);
   auto admission = state_.with([&](ControllerState& state) {
     return decide_admission(state, submission, core::Steady::now(), core::wall_s());
   });
 
-  if (std::holds_alternative<NotReady>(admission)) co_return retry_later("not ready to decide");
-  if (std::holds_alternative<TooEarlyForUpgrade>(admission))
-    co_return retry_later("standing jobs wait for the upgrade of all controllers", kUpgradeRetryAfterS);
-  if (out_of_touch_with_store()) co_return retry_later(kNoStoreText);
-  if (std::holds_alternative<NeverRuns>(admission)) {
-    // 422 is final to the user. The job may have been accepted by another controller, under settings or
-    // machine types that allowed it, and a repeated submission must then be answered with its state.
+  if (std::holds_alternative<NotReady>(admission)) co_return retry_later("controller is not ready");
+  if (std::holds_alternative<AwaitingUpgrade>(admission))
+    co_return retry_later("standing jobs require the upgrade of all controllers", kUpgradeRetryAfterS);
+  if (is_store_unreachable()) co_return retry_later(kStoreUnreachableText);
+  if (std::holds_alternative<Infeasible>(admission)) {
+    // 422 is final to the user. Another controller may have accepted the job under settings or machine types
+    // that allowed it; a repeated submission must then be answered with the job's state.
     if (!co_await follower_.linearizable_read(core::Steady::now() + kReadTimeout))
-      co_return retry_later(kUnknownStateText);
-    if (!knows(submission.id))
-      co_return error_response(http::status::kUnprocessable, text_of(std::get<NeverRuns>(admission).reason));
+      co_return retry_later(kStateUnknownText);
+    if (!job_exists(submission.id))
+      co_return error_response(http::status::kUnprocessable,
+                               error_text(std::get<Infeasible>(admission).reason));
   }
   if (!std::holds_alternative<Admitted>(admission)) co_return co_await query(submission.id);
 
@@ -133,29 +134,29 @@
   switch (result.outcome) {
     case CommitStatus::done:
       co_return http::Response{http::status::kCreated, wire::render_status(job, "pending")};
-    case CommitStatus::conflict:  // another controller has accepted the same job meanwhile
+    case CommitStatus::conflict:  // another controller has accepted the same job
       co_return co_await query(job);
     case CommitStatus::unknown:
-      // It might be applied: what the record says after it decides.
+      // The commit may have been applied; a later read of the record decides.
       if (!co_await follower_.linearizable_read(core::Steady::now() + kReadAfterCommitTimeout))
-        co_return retry_later(kUnknownStateText);
-      if (knows(job)) co_return co_await query(job);
-      co_return retry_later(kUnknownStateText);
+        co_return retry_later(kStateUnknownText);
+      if (job_exists(job)) co_return co_await query(job);
+      co_return retry_later(kStateUnknownText);
     default:
-      co_return retry_later("state service refuses");
+      co_return retry_later("state service refused the write");
   }
 }
 
 asio::awaitable<http::Response> JobApi::cancel(std::string id) {
   const auto deadline = core::Steady::now() + kCancelTimeout;
-  for (int attempt = 0; attempt < kCancelAttempts && core::Steady::now() < deadline; ++attempt) {
+  for (int attempt = 0; attempt < kMaxCancelAttempts && core::Steady::now() < deadline; ++attempt) {
     auto decision = state_.with([&](ControllerState& state) { return decide_cancellation(state, id); });
-    if (const auto* over = std::get_if<AlreadyOver>(&decision)) co_return status_of(over->job);
-    if (out_of_touch_with_store()) co_return retry_later(kNoStoreText);
+    if (const auto* over = std::get_if<AlreadyFinished>(&decision)) co_return status_of(over->job);
+    if (is_store_unreachable()) co_return retry_later(kStoreUnreachableText);
     auto* cancellable = std::get_if<Cancellable>(&decision);
     if (cancellable) {
-      // Counted against the write budget, yet not held up by it: whatever else is being written, a user's
-      // cancellation must not be starved, for every second of it runs what nobody wants.
+      // The write counts against the write budget but does not wait for it: other writes must not delay a
+      // cancellation, since the job's tasks keep running until then.
       store_.spend(1, state::KeyValueStore::For::users);
       const auto result = co_await follower_.commit(std::move(cancellable->transaction));
       if (result.outcome == CommitStatus::done) {
@@ -163,14 +164,14 @@
         peer_service_.announce_cancellation(id);
         co_return status_of(cancellable->job);
       }
-      if (result.outcome == CommitStatus::refused) co_return retry_later("state service refuses");
+      if (result.outcome == CommitStatus::refused) co_return retry_later("state service refused the write");
     }
-    // The record has changed, the commit got no answer, or the job is not known here: look again.
-    if (!co_await follower_.linearizable_read(deadline)) co_return retry_later(kUnknownStateText);
-    if (std::holds_alternative<UnknownJob>(decision) && !knows(id))
+    // The record has changed, the commit got no answer, or the job is unknown here. Retries after a read.
+    if (!co_await follower_.linearizable_read(deadline)) co_return retry_later(kStateUnknownText);
+    if (std::holds_alternative<UnknownJob>(decision) && !job_exists(id))
       co_return error_response(http::status::kNotFound, kNoSuchJobText);
   }
-  co_return retry_later(kUnknownStateText);
+  co_return retry_later(kStateUnknownText);
 }
 
 }  // namespace finchrun::gateway
--- a/src/gateway/job_api.hpp
+++ b/src/gateway/job_api.hpp
@@ -1,4 +1,5 @@
-// The users' interface: submissions, queries, cancellations; and readiness for the load balancer.
+// The HTTP interface for users (submissions, queries, cancellations), and the load balancer's readiness
+// check.
 #pragma once
 
 #include <string>
@@ -15,35 +16,35 @@
 
 namespace asio = boost::asio;
 
-/// Jobs, for their users. Every controller answers for every job. What is answered is durable, and
-/// linearizable: no answer is older than an earlier one of any controller, since each rests on a read of the
-/// key-value store that was sent after the request came, or on a final state, which can't change (rule
-/// `forgotten`).
+/// Answers users' requests about jobs. Every controller answers for every job. Answers are durable and
+/// linearizable: each is based on a read of the key-value store that was sent after the request arrived, or
+/// on a final job state, so no answer is older than an earlier answer of any controller (rule `forgotten`).
 ///
-/// 503 says that nothing was decided and that the request may be repeated. 400, 404 and 422 are final to the
-/// user, so 404 and 422 are given only after a linearizable read has shown that the job is not known.
+/// Status 503 means that nothing was decided and the request may be repeated. 400, 404 and 422 are final to
+/// the user, so 404 and 422 are returned only after a linearizable read has shown that the job does not
+/// exist.
 class JobApi {
  public:
   JobApi(controller::SharedState& state, state::KeyValueStore& store, coordination::StateFollower& follower,
          coordination::PeerTable& peers, coordination::PeerService& peer_service)
       : state_(state), store_(store), follower_(follower), peers_(peers), peer_service_(peer_service) {}
 
-  /// Accepts a job: 201. Idempotent: a job that is known already is answered with its state, 200, whatever
-  /// else the submission says. 400: malformed; 422: it can never run; 503: not decided.
+  /// Accepts a job: 201. Idempotent: for a job that was accepted before, returns 200 with its state, whatever
+  /// the other fields of the submission are. 400: malformed; 422: the job can never run; 503: not decided.
   asio::awaitable<http::Response> submit(std::string body);
-  /// The state of a job: 200, 404 or 503.
+  /// Returns the state of a job: 200, 404 or 503.
   asio::awaitable<http::Response> query(std::string id);
-  /// Cancels a job by compare-and-swap on its record; idempotent: one that is over is answered with its
-  /// state. Once 200 was answered no task of the job starts (rule `ran_cancelled`). 404: no such job; 503:
-  /// not decided, and the job might be cancelled all the same.
+  /// Cancels a job by compare-and-swap on its record. Idempotent: for a finished or cancelled job, returns
+  /// its state. After an answer of 200 no task of the job starts (rule `ran_cancelled`). 404: no such job;
+  /// 503: not decided, and the job may or may not be cancelled.
   asio::awaitable<http::Response> cancel(std::string id);
-  /// Should the load balancer send users here?
-  [[nodiscard]] bool ready();
+  /// True if the load balancer should send users to this controller.
+  [[nodiscard]] bool is_ready();
 
  private:
   http::Response status_of(core::JobId id);
-  bool knows(const std::string& job);
-  bool out_of_touch_with_store();
+  bool job_exists(const std::string& job);
+  bool is_store_unreachable();
   asio::awaitable<http::Response> commit_submission(std::string job, state::Transaction transaction);
 
   controller::SharedState& state_;
--- a/src/gateway/responses.hpp
+++ b/src/gateway/responses.hpp
@@ -1,4 +1,4 @@
-// Responses that say why a request was not carried out.
+// Error responses.
 #pragma once
 
 #include <optional>
@@ -10,14 +10,14 @@
 
 namespace finchrun::gateway {
 
-inline http::Response error_response(int status, std::string_view why,
+inline http::Response error_response(int status, std::string_view reason,
                                      std::optional<int> retry_after_s = std::nullopt) {
-  return {status, wire::render_error(why), retry_after_s};
+  return {status, wire::render_error(reason), retry_after_s};
 }
 
-/// 503 with Retry-After: the request was not carried out, and may be repeated.
-inline http::Response retry_later(std::string_view why, int seconds = 1) {
-  return error_response(http::status::kServiceUnavailable, why, seconds);
+/// 503 with Retry-After: the request was not carried out and may be repeated.
+inline http::Response retry_later(std::string_view reason, int retry_after_s = 1) {
+  return error_response(http::status::kServiceUnavailable, reason, retry_after_s);
 }
 
 }  // namespace finchrun::gateway
--- a/src/gateway/router.cpp
+++ b/src/gateway/router.cpp
@@ -27,9 +27,9 @@
   const auto& route = std::get<Route>(parsed);
   switch (route.endpoint) {
     case Endpoint::heartbeat:
-      co_return co_await agents_.receive(std::move(request.body));
+      co_return co_await agents_.handle_request(std::move(request.body));
     case Endpoint::readiness:
-      if (!jobs_.ready()) co_return retry_later("no news from the state service");
+      if (!jobs_.is_ready()) co_return retry_later("state service unavailable");
       co_return http::Response{http::status::kOk, "{}"};
     case Endpoint::submit:
       co_return co_await jobs_.submit(std::move(request.body));
--- a/src/gateway/router.hpp
+++ b/src/gateway/router.hpp
@@ -1,4 +1,4 @@
-// Requests by method and path, to the component that handles them.
+// Dispatches HTTP requests to the component that handles them, by method and path.
 #pragma once
 
 #include "gateway/agent_gateway.hpp"
@@ -6,12 +6,12 @@
 
 namespace finchrun::gateway {
 
-/// The interface of users, agents and the load balancer's health checks.
+/// The HTTP interface for users, agents and the load balancer's health checks.
 class Router {
  public:
   Router(JobApi& jobs, AgentGateway& agents) : jobs_(jobs), agents_(agents) {}
 
-  /// Answers a request; one that no component handles with 404 or 405.
+  /// Answers a request, with 404 or 405 if no component handles it.
   asio::awaitable<http::Response> handle(http::Request request);
 
  private:
--- a/src/gateway/routes.cpp
+++ b/src/gateway/routes.cpp
@@ -19,7 +19,7 @@
   return reads ? "GET" : "POST";
 }
 
-// By the path alone; the job's id is not checked.
+// Matches the path only, without checking the job id.
 std::optional<Route> route_of(std::string_view path) {
   if (path == kHeartbeatPath) return Route{Endpoint::heartbeat, {}};
   if (path == kReadinessPath) return Route{Endpoint::readiness, {}};
@@ -41,7 +41,7 @@
   if (!route) return RouteError::no_such_path;
   if (method != method_of(route->endpoint)) return RouteError::method_not_allowed;
   const bool names_job = route->endpoint == Endpoint::query || route->endpoint == Endpoint::cancel;
-  if (names_job && !wire::valid_job_id(route->job)) return RouteError::no_such_job;
+  if (names_job && !wire::is_valid_job_id(route->job)) return RouteError::no_such_job;
   return std::move(*route);
 }
 
--- a/src/gateway/routes.hpp
+++ b/src/gateway/routes.hpp
@@ -1,4 +1,4 @@
-// The paths of the interface, as typed routes.
+// Parses the HTTP interface's paths into typed routes.
 #pragma once
 
 #include <string>
@@ -7,26 +7,26 @@
 
 namespace finchrun::gateway {
 
-/// What can be asked of a controller over HTTP.
+/// The operations of a controller's HTTP interface.
 enum class Endpoint {
-  heartbeat,  ///< POST /hello: of agents
-  readiness,  ///< GET /up: of the load balancer
-  submit,     ///< POST /submissions: of users
+  heartbeat,  ///< POST /hello, from agents
+  readiness,  ///< GET /up, from the load balancer
+  submit,     ///< POST /submissions, from users
   query,      ///< GET /submissions/<job>
   cancel,     ///< POST /submissions/<job>/abort
 };
 struct Route {
   Endpoint endpoint;
-  std::string job;  ///< of `query` and `cancel`
+  std::string job;  ///< only for `query` and `cancel`
   bool operator==(const Route&) const = default;
 };
 enum class RouteError {
   no_such_path,
   method_not_allowed,
-  no_such_job,  ///< what stands in the job's place can't be the id of any job
+  no_such_job,  ///< the path has an invalid job id
 };
 
-/// The route of a request. What follows a question mark in `target` is ignored.
+/// Returns the route of a request. Ignores the query part of `target`.
 std::variant<Route, RouteError> parse_route(std::string_view method, std::string_view target);
 
 }  // namespace finchrun::gateway
--- a/src/scheduling/cluster_load.cpp
+++ b/src/scheduling/cluster_load.cpp
@@ -13,10 +13,10 @@
 
 // Leaves out machines that are certain to be useless, and of which nothing is certain yet.
 bool counts_as_capacity(const ControllerState& state, const agent::Machine& machine, core::TimePoint now) {
-  if (machine.quarantined || machine.gone || machine.terminating || machine.termination_notice_s)
+  if (machine.quarantined || machine.deleted || machine.terminating || machine.termination_notice_s)
     return false;
   if (!machine.partition.valid()) return false;
-  if (state.leads(machine.partition)) return state.usable(machine, now);
+  if (state.leads(machine.partition)) return state.is_schedulable(machine, now);
   // Its agent's heartbeats go to another leader: only the cloud's list tells of it.
   return machine.listed && machine.status == "running";
 }
@@ -26,30 +26,30 @@
     const WaitingTasks tasks(state.cache, id);
     if (!tasks.any()) continue;
     const auto& need = state.cache.job(id)->spec.need;
-    for (std::uint32_t p = 0; p < load.waiting.size(); ++p)
-      load.waiting[p] += need * static_cast<double>(tasks.count(core::PartitionId{p}));
+    for (std::uint32_t p = 0; p < load.waiting_demand.size(); ++p)
+      load.waiting_demand[p] += need * static_cast<double>(tasks.count(core::PartitionId{p}));
   }
 }
 
 void add_machines(ClusterLoad& load, const ControllerState& state, core::TimePoint now) {
-  for (const auto& [id, machine] : state.fleet.all()) {
+  for (const auto& [id, machine] : state.fleet.machines()) {
     if (!counts_as_capacity(state, machine, now)) continue;
     const auto* machine_type = state.fleet.machine_type(machine.type);
     if (!machine_type) continue;
     auto free = machine_type->size;
-    free -= state.used_on(id);
+    free -= state.allocated_on(id);
     load.machines.push_back({machine.partition, machine.type, machine.spot, machine_type->size, free});
-    for (const auto& [image, _] : machine.images) load.images[machine.partition.index].insert(image);
+    for (const auto& [image, _] : machine.cached_images) load.cached_images[machine.partition.index].insert(image);
   }
 }
 
 const ClusterLoad& current_load(ControllerState& state, core::TimePoint now) {
-  auto& load = state.load;
-  if (load.at != core::TimePoint{} && core::since(load.at, now) < kMaxLoadAgeS) return load;
+  auto& load = state.cluster_load;
+  if (load.computed_at != core::TimePoint{} && core::since(load.computed_at, now) < kMaxLoadAgeS) return load;
   load = {};
-  load.at = now;
-  load.waiting.resize(state.partitions.size());
-  load.images.resize(state.partitions.size());
+  load.computed_at = now;
+  load.waiting_demand.resize(state.partitions.size());
+  load.cached_images.resize(state.partitions.size());
   add_waiting_tasks(load, state);
   add_machines(load, state, now);
   return load;
@@ -74,8 +74,8 @@
     capacity.partition = core::PartitionId{p};
     capacity.zone = state.partitions.zone(capacity.partition);
     capacity.allowed = !spec.zone || *spec.zone == capacity.zone;
-    capacity.backlog = tasks_in_place_of(load.waiting[p], spec.need);
-    capacity.has_image = load.images[p].contains(spec.image);
+    capacity.backlog = tasks_in_place_of(load.waiting_demand[p], spec.need);
+    capacity.has_image = load.cached_images[p].contains(spec.image);
   }
   for (const auto& machine : load.machines) {
     if (!spec.allows_type(machine.type) || (machine.spot && !spec.spot)) continue;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -40,8 +40,8 @@
   auto* machine = state.fleet.find(id);
   if (!machine) return;
   machine->reserved_for = job;
-  machine->reserved_ready = now + core::secs(ready_in_s);
-  machine->reserved_until = now + core::secs(lasts_s);
+  machine->reservation_ready_at = now + core::secs(ready_in_s);
+  machine->reservation_expires_at = now + core::secs(lasts_s);
 }
 
 // How long the task has run as far as heartbeats have shown; 0: none has shown it yet.
@@ -59,7 +59,7 @@
   const auto* job = state.cache.job(id);
   if (!job || job->status != jobs::Status::live) return std::nullopt;
   const agent::TaskAttempt attempt{id, assignment.task, assignment.attempt};
-  if (state.fleet.preempting.contains(attempt) || state.fleet.ended(id, partition, assignment))
+  if (state.fleet.preempting.contains(attempt) || state.fleet.has_ended(id, partition, assignment))
     return std::nullopt;
   const double ran = ran_s(state, attempt, now);
   sched::RunningTask task;
@@ -162,7 +162,7 @@
 
 void evict_from_reclaimed_machines(ControllerState& state) {
   std::set<core::JobId> gangs;
-  for (const auto& [id, machine] : state.fleet.all()) {
+  for (const auto& [id, machine] : state.fleet.machines()) {
     if (!machine.termination_notice_s || !machine.partition.valid() || !state.leads(machine.partition))
       continue;
     evict_from(state, id, *machine.termination_notice_s, gangs);
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -34,7 +34,7 @@
   each_partition(state, [&](core::PartitionId partition) {
     if (!state.leads(partition)) return;
     auto& usage = state.usage[partition.index];
-    auto& usage_from = state.usage_from[partition.index];
+    auto& usage_from = state.usage_fencing_tokens[partition.index];
     if (usage_from != state.fencing_token(partition)) {
       const auto& record = state.cache.usage(partition);
       if (!record.windows.empty()) usage.restore(record.index, record.windows);
@@ -93,7 +93,7 @@
 // We lead it, and know everything that was written before its fence moved last.
 bool may_place_in(const ControllerState& state, core::PartitionId partition) {
   return state.leads(partition) && !state.fence_due[partition.index] &&
-         state.cache.revision() >= state.fenced_at[partition.index];
+         state.cache.revision() >= state.fence_move_revision[partition.index];
 }
 
 // `used`: by team, in this partition.
@@ -120,14 +120,14 @@
 }
 
 void add_nodes(const ControllerState& state, core::TimePoint now, RoundView& view) {
-  for (const auto& [id, machine] : state.fleet.all()) {
+  for (const auto& [id, machine] : state.fleet.machines()) {
     const auto partition = view.partitions.find(machine.partition);
-    if (partition == view.partitions.end() || !state.usable(machine, now)) continue;
+    if (partition == view.partitions.end() || !state.is_schedulable(machine, now)) continue;
     if (const auto* machine_type = state.fleet.machine_type(machine.type))
       partition->second.nodes.push_back(node_of(state, machine, *machine_type, now));
   }
   // The profiles are of all partitions; each sees its even part of the tasks.
-  auto job_classes = state.job_classes;
+  auto job_classes = state.job_class_profiles;
   for (auto& job_class : job_classes) job_class.tasks /= static_cast<double>(state.partitions.size());
   for (auto& [_, partition] : view.partitions) sched::mark_scarcity(partition.nodes, job_classes);
 }
@@ -135,8 +135,8 @@
 // Jobs that have a reservation on some machine.
 std::set<core::JobId> jobs_with_reservation(const ControllerState& state, core::TimePoint now) {
   std::set<core::JobId> jobs;
-  for (const auto& [_, machine] : state.fleet.all())
-    if (machine.reserved_until > now) jobs.insert(machine.reserved_for);
+  for (const auto& [_, machine] : state.fleet.machines())
+    if (machine.reservation_expires_at > now) jobs.insert(machine.reserved_for);
   return jobs;
 }
 
@@ -160,7 +160,7 @@
       demand->waited_s = wall_s - spec.submitted_s;
       demand->within = view.within_guarantee.contains(id);
       demand->guaranteed = demand->within && demand->waited_s >= state.guarantee_grace_s();
-      demand->deferrable = state.deferrable(spec, wall_s);
+      demand->deferrable = state.is_deferrable(spec, wall_s);
       demand->has_reservation = reserved.contains(id);
       view.queue.push_back({demand->team, demand->image, demand->need.cpus, demand->count});
       partition_view.demands.push_back(view.demands.size());
@@ -194,21 +194,21 @@
   node.spot = machine.spot;
   node.size = machine_type.size;
   node.free = machine_type.size;
-  node.free -= state.used_on(machine.id);
+  node.free -= state.allocated_on(machine.id);
   node.fetch_gb_per_s = machine_type.fetch_gb_per_s;
-  for (const auto& [image, _] : machine.images) node.images.push_back(image);
+  for (const auto& [image, _] : machine.cached_images) node.images.push_back(image);
   std::set<core::ImageId> fetching;
   for (const auto& placed : state.cache.on_machine(machine.id)) {
     const auto* job = state.cache.job(placed.job);
     if (!job || job->status != jobs::Status::live) continue;
-    if (!machine.holds(job->spec.image)) fetching.insert(job->spec.image);
+    if (!machine.has_image(job->spec.image)) fetching.insert(job->spec.image);
     if (job->spec.standing()) node.replicas.push_back(placed.job);
   }
   node.fetching = fetching.size();
   if (machine.cordoned_until > now) node.risk_s = kCordonedRiskS;
-  if (machine.reserved_until > now) {
+  if (machine.reservation_expires_at > now) {
     node.reserved_for = machine.reserved_for;
-    node.reserved_in_s = std::max(0.0, core::since(now, machine.reserved_ready));
+    node.reserved_in_s = std::max(0.0, core::since(now, machine.reservation_ready_at));
   }
   return node;
 }
@@ -261,7 +261,7 @@
 }
 
 std::optional<RoundView> build_round_view(ControllerState& state, double round_s, core::TimePoint now) {
-  if (!state.loaded || state.fleet.machine_types.empty() ||
+  if (!state.cache_loaded || state.fleet.machine_types.empty() ||
       core::since(state.synchronized_at, now) > kMaxCacheAgeS)
     return std::nullopt;
   const double wall_s = core::wall_s();
@@ -269,18 +269,18 @@
   const auto used = state.used_by_partition();
   RoundView view;
   view.attempt = state.cache.newest() + 1;
-  view.team_shares = state.shares;
+  view.team_shares = state.fair_share_weights;
   view.used_by_team = controller::sum_by_team(used, state.settings.teams.size());
   view.guarantees = guarantees_of(state.settings.teams, view.used_by_team);
   roll_own_usage(state, wall_s);
   book_usage(state, wall_s, round_s);
   view.decayed_usage = decayed_usage(state, wall_s);
-  state.observe_job_classes();
+  state.update_job_class_profiles();
   evict_from_reclaimed_machines(state);
   add_partitions(state, used, view);
   if (view.partitions.empty()) return std::nullopt;
   add_nodes(state, now, view);
-  view.within_guarantee = state.within_guarantee();
+  view.within_guarantee = state.jobs_within_guarantee();
   add_demands(state, wall_s, now, view);
   return view;
 }
--- a/src/scheduling/usage_recorder.cpp
+++ b/src/scheduling/usage_recorder.cpp
@@ -9,7 +9,7 @@
   for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
     const core::PartitionId partition{p};
     const auto fencing_token = state.fencing_token(partition);
-    if (!state.leads(partition) || state.usage_from[p] != fencing_token) continue;
+    if (!state.leads(partition) || state.usage_fencing_tokens[p] != fencing_token) continue;
     const auto& name = state.names.partitions.name(partition);
     state::Transaction transaction;
     transaction.compares.push_back({state::keys::partition(name), fencing_token});
--- a/src/wire/field_reader.cpp
+++ b/src/wire/field_reader.cpp
@@ -7,8 +7,8 @@
 namespace json = boost::json;
 
 namespace {
-constexpr std::size_t kMostTextBytes = 200;
-constexpr double kMostAmount = 1e12;
+constexpr std::size_t kMaxTextBytes = 200;
+constexpr double kMaxAmount = 1e12;
 }  // namespace
 
 void throw_invalid(const char* key) { throw InvalidField{std::string("invalid field ") + key}; }
@@ -36,14 +36,14 @@
 std::string text_of(const json::value& value, const char* key) {
   if (!value.is_string()) throw_invalid(key);
   const auto& text = value.as_string();
-  if (text.empty() || text.size() > kMostTextBytes) throw_invalid(key);
+  if (text.empty() || text.size() > kMaxTextBytes) throw_invalid(key);
   return std::string(text);
 }
 
 double amount_of(const json::value& value, const char* key) {
   if (!value.is_number()) throw_invalid(key);
   const double amount = value.to_number<double>();
-  if (!std::isfinite(amount) || amount < 0 || amount > kMostAmount) throw_out_of_range(key);
+  if (!std::isfinite(amount) || amount < 0 || amount > kMaxAmount) throw_out_of_range(key);
   return amount;
 }
 
--- a/src/wire/field_reader.hpp
+++ b/src/wire/field_reader.hpp
@@ -1,5 +1,4 @@
-// Reads single fields of a message; one that breaks the rules is an `InvalidField`, thrown within `wire`
-// only.
+// Reads and validates single fields of a message. `InvalidField` is thrown and caught within `wire` only.
 #pragma once
 
 #include <boost/json.hpp>
@@ -11,41 +10,41 @@
 
 namespace finchrun::wire {
 
-/// A message breaks the protocol's rules. The text names the reason and the field, and reaches the sender.
+/// A field that violates the protocol. The text names the reason and the field, and is sent to the sender.
 struct InvalidField {
-  std::string why;
+  std::string reason;
 };
 
 /// The field's value; throws if it is missing.
 const boost::json::value& required(const boost::json::object& message, const char* key);
-/// Nothing if the field is null or missing: any field that may be null may also be left out.
+/// Null if the field is null or missing: any field that may be null may also be left out.
 const boost::json::value* optional_field(const boost::json::object& message, const char* key);
 
-/// Not empty, 200 bytes at most.
+/// Accepts 1 to 200 bytes.
 std::string text_of(const boost::json::value& value, const char* key);
-/// Finite, from 0 to 1e12.
+/// Accepts finite numbers from 0 to 1e12.
 double amount_of(const boost::json::value& value, const char* key);
 
 std::string text(const boost::json::object& message, const char* key);
 double amount(const boost::json::object& message, const char* key);
 bool flag(const boost::json::object& message, const char* key);
-/// A whole number, not negative.
+/// Accepts non-negative integers.
 std::uint64_t count(const boost::json::object& message, const char* key);
 
 [[noreturn]] void throw_invalid(const char* key);
 [[noreturn]] void throw_out_of_range(const char* key);
 
-/// The object that the body holds; throws if it is none.
+/// Parses the body as a JSON object; throws if it is not one.
 boost::json::object parse_object(const std::string& body);
 
-/// The message that `read` makes of the body's object, or why the body is malformed.
+/// Returns the message that `read` reads from the body's object, or the reason why the body is malformed.
 template <class Message>
 std::variant<Message, Malformed> read_message(const std::string& body,
                                               Message (&read)(const boost::json::object&)) {
   try {
     return read(parse_object(body));
   } catch (const InvalidField& invalid) {
-    return Malformed{invalid.why};
+    return Malformed{invalid.reason};
   }
 }
 
--- a/src/wire/heartbeat.cpp
+++ b/src/wire/heartbeat.cpp
@@ -1,4 +1,4 @@
-// Heartbeats of agents, as the protocol writes them.
+// Parsing of agents' heartbeats.
 #include <charconv>
 
 #include "wire/field_reader.hpp"
@@ -9,7 +9,7 @@
 
 namespace json = boost::json;
 
-// An agent of a later version may know more states and causes: those are no error.
+// Agents of later versions may send more states and causes, so an unknown one is not an error.
 TaskState task_state_of(std::string_view name) {
   if (name == value::kFetching) return TaskState::fetching;
   if (name == value::kWaiting) return TaskState::waiting;
@@ -22,15 +22,15 @@
 ExitCause exit_cause_of(std::string_view name) {
   if (name == value::kDone) return ExitCause::done;
   if (name == value::kStopped) return ExitCause::stopped;
-  if (name == value::kPeersGone) return ExitCause::peers;
-  if (name == value::kAlone) return ExitCause::alone;
+  if (name == value::kGangPeerEnded) return ExitCause::gang_peer_ended;
+  if (name == value::kGangPeersMissing) return ExitCause::gang_peers_missing;
   if (name == value::kError) return ExitCause::error;
   if (name == value::kNoRoom) return ExitCause::no_room;
-  if (name == value::kBusy) return ExitCause::busy;
+  if (name == value::kOtherAttemptPresent) return ExitCause::other_attempt_present;
   return ExitCause::unknown;
 }
 
-// "<job id>/<index>" into the job and the index.
+// Splits "<job id>/<index>" into the job and the index.
 void read_task_name(const json::object& message, TaskStatus& status) {
   const auto name = text(message, field::kTask);
   const auto slash = name.rfind('/');
@@ -48,12 +48,12 @@
   status.state = task_state_of(text(message, field::kTaskState));
   if (const auto* cause = optional_field(message, field::kExitCause))
     status.cause = exit_cause_of(text_of(*cause, field::kExitCause));
-  if (const auto* saved = optional_field(message, field::kSaved))
-    status.saved = saved->is_bool() && saved->as_bool();
+  if (const auto* saved = optional_field(message, field::kCheckpointSaved))
+    status.checkpoint_saved = saved->is_bool() && saved->as_bool();
   return status;
 }
 
-// Fields are read in the order of the protocol's page: of several that are wrong the first is named.
+// Reads the fields in the order of the protocol's documentation; the first invalid field is reported.
 Heartbeat read_heartbeat(const json::object& message) {
   Heartbeat heartbeat;
   heartbeat.machine = text(message, field::kMachine);
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -1,4 +1,4 @@
-// Commands and the other answers, as the protocol writes them.
+// Rendering of commands and other answers.
 #include "wire/messages.hpp"
 
 #include "wire/protocol_names.hpp"
@@ -63,6 +63,8 @@
       {field::kJobId, id}, {field::kJobStatus, status}, {field::kDone, done}, {field::kRunning, running}});
 }
 
-std::string render_error(std::string_view why) { return json::serialize(json::object{{field::kError, why}}); }
+std::string render_error(std::string_view reason) {
+  return json::serialize(json::object{{field::kError, reason}});
+}
 
 }  // namespace finchrun::wire
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -1,5 +1,5 @@
-// The protocol's messages and the types they become. The protocol's own names stand in `protocol_names.hpp`
-// and stop at this interface.
+// Typed messages of the wire protocol. The names used on the wire are defined in `protocol_names.hpp` and do
+// not appear outside `wire`.
 #pragma once
 
 #include <cstdint>
@@ -12,77 +12,85 @@
 
 namespace finchrun::wire {
 
-/// What a submission says, before it is checked against teams and machine types.
+/// A parsed submission, not yet checked against teams and machine types.
 struct Submission {
   std::string id;
   std::string job_class, team, image;
-  std::optional<std::vector<std::string>> types;
+  std::optional<std::vector<std::string>> allowed_types;
   std::optional<std::string> zone;
-  jobs::JobSpec spec;  ///< without the fields that need names: class, team, image, types, zone, time
+  jobs::JobSpec spec;  ///< without job class, team, image, types, zone and time of submission
 };
-/// A message that breaks the protocol's rules.
+/// A message that violates the protocol.
 struct Malformed {
-  std::string why;  ///< the reason and the first field that is wrong; the sender gets this text
+  std::string reason;  ///< the reason and the first invalid field, sent to the sender
 };
 /// A field that may be null may also be left out; unknown fields are ignored.
 std::variant<Submission, Malformed> parse_submission(const std::string& body);
-/// "req-" and 1 to 20 digits.
-bool valid_job_id(std::string_view id);
+/// True for "req-" followed by 1 to 20 digits.
+bool is_valid_job_id(std::string_view id);
 
-/// Where a task is on its machine. `other`: a state that this version does not know.
+/// State of a task on its machine. `other`: a state that this version does not know.
 enum class TaskState { fetching, waiting, running, saving, ended, other };
-/// Why a task ended: `stopped` by a command, `peers` of its gang have ended, `alone`: its gang was not
-/// complete in time, `no_room` on the machine, `busy`: another attempt of the task is still there. `unknown`:
-/// a cause that this version does not know.
-enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+/// Why a task ended.
+enum class ExitCause {
+  none,
+  done,
+  stopped,                ///< by a stop command
+  gang_peer_ended,        ///< another task of its gang has ended
+  gang_peers_missing,     ///< its gang was not complete in time
+  error,                  ///< the task failed
+  no_room,                ///< the machine had too few free resources
+  other_attempt_present,  ///< another attempt of the task was still on the machine
+  unknown                 ///< a cause that this version does not know
+};
 
-/// One attempt of a task, as a heartbeat shows it.
+/// One attempt of a task, as reported by a heartbeat.
 struct TaskStatus {
   std::string job;
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::other;
   ExitCause cause = ExitCause::none;
-  bool saved = false;  ///< an ended task has saved its work
+  bool checkpoint_saved = false;  ///< only of an ended task
 };
-/// What an agent says of its machine, by itself or in answer to direct commands. The newest is the one of the
-/// highest incarnation, and of the highest sequence number within it.
+/// An agent's report about its machine, sent periodically and in answer to direct commands. The newest is the
+/// one with the highest incarnation, and the highest sequence number within it.
 struct Heartbeat {
   std::string machine, endpoint, type, zone;
   bool spot = false;
   std::uint64_t agent_incarnation = 0, sequence = 0, fencing_token = 0;
   std::optional<double>
-      termination_notice_s;  ///< until the cloud takes the machine back; nothing: not announced
+      termination_notice_s;  ///< time until the cloud terminates the spot instance; empty: not announced
   std::vector<TaskStatus>
-      tasks;  ///< all that are on the machine, and those that ended and were not forgotten
+      tasks;  ///< all tasks on the machine, and ended ones that no command has told the agent to forget
 };
-/// As for submissions. States and causes that are unknown are no error.
+/// Treats null and unknown fields like `parse_submission`. Unknown states and causes are accepted.
 std::variant<Heartbeat, Malformed> parse_heartbeat(const std::string& body);
 
-/// What an agent is to do with one attempt of a task. `forget`: its end is recorded, it need not be shown
-/// again.
+/// A command to an agent concerning one attempt of a task. `forget`: its end is recorded, so the agent drops
+/// it from its heartbeats.
 struct Command {
   enum class Kind { start, stop, forget } kind = Kind::start;
   std::string job;
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
-  double grace_s = 0;  ///< of `stop`: time to save
+  double grace_s = 0;  ///< only for `stop`: time to save a checkpoint
 };
-/// Most commands in one response: every line of it must stay within 64 KiB.
+/// Maximum number of commands in one response, whose lines must not exceed 64 KiB.
 inline constexpr std::size_t kMaxCommands = 400;
 /// The answer to a heartbeat. The agent obeys the highest fencing token that it has seen, and no lower one.
 std::string render_commands(std::uint64_t fencing_token, const std::vector<Command>& commands);
-/// Commands that go straight to an agent, for this incarnation of it only.
+/// Commands sent directly to an agent, valid only for this incarnation of it.
 std::string render_direct_commands(std::uint64_t fencing_token, std::uint64_t agent_incarnation,
                                    const std::vector<Command>& commands);
-/// Sends an agent to the leader of its partition, by the leader's label; nothing: not known.
+/// Redirects an agent to the leader of its partition, given by its label; empty if the leader is unknown.
 std::string render_redirect(const std::optional<std::string>& leader);
 
-/// The state of a job, for its user: without counts for one that is accepted just now or cancelled.
+/// The state of a job for its user. The overload without counts is for newly accepted and cancelled jobs.
 std::string render_status(const std::string& id, const char* status);
 std::string render_status(const std::string& id, const char* status, std::uint32_t done,
                           std::uint32_t running);
-/// Why a request was not carried out.
-std::string render_error(std::string_view why);
+/// The reason why a request was not carried out.
+std::string render_error(std::string_view reason);
 
 }  // namespace finchrun::wire
--- a/src/wire/submission.cpp
+++ b/src/wire/submission.cpp
@@ -1,4 +1,4 @@
-// Submissions of users, as the protocol writes them.
+// Parsing of users' submissions.
 #include "wire/field_reader.hpp"
 #include "wire/protocol_names.hpp"
 
@@ -7,7 +7,7 @@
 
 namespace json = boost::json;
 
-constexpr std::uint64_t kMostTasks = 100000;
+constexpr std::uint64_t kMaxTasks = 100000;
 
 jobs::Shape read_shape(const json::object& message) {
   const auto shape = text(message, field::kShape);
@@ -25,7 +25,7 @@
 
 std::uint32_t read_task_count(const json::object& message) {
   const auto tasks = count(message, field::kTasks);
-  if (tasks < 1 || tasks > kMostTasks) throw_out_of_range(field::kTasks);
+  if (tasks < 1 || tasks > kMaxTasks) throw_out_of_range(field::kTasks);
   return static_cast<std::uint32_t>(tasks);
 }
 
@@ -38,12 +38,12 @@
   return types;
 }
 
-// Fields are read in the order of the protocol's page: of several that are wrong the first is named.
+// Reads the fields in the order of the protocol's documentation; the first invalid field is reported.
 Submission read_submission(const json::object& message) {
   Submission submission;
   auto& spec = submission.spec;
   submission.id = text(message, field::kJobId);
-  if (!valid_job_id(submission.id)) throw_invalid(field::kJobId);
+  if (!is_valid_job_id(submission.id)) throw_invalid(field::kJobId);
   submission.job_class = text(message, field::kJobClass);
   submission.team = text(message, field::kTeam);
   spec.shape = read_shape(message);
@@ -52,16 +52,16 @@
   spec.need = {amount(message, field::kCpus), amount(message, field::kGpus), amount(message, field::kRamGb)};
   submission.image = text(message, field::kImage);
   spec.image_gb = amount(message, field::kImageGb);
-  submission.types = read_machine_types(message);
+  submission.allowed_types = read_machine_types(message);
   if (const auto* zone = optional_field(message, field::kZone))
     submission.zone = text_of(*zone, field::kZone);
-  spec.one_zone = flag(message, field::kOneZone);
+  spec.one_zone = flag(message, field::kSingleZone);
   spec.spread = flag(message, field::kSpread);
   spec.spot = flag(message, field::kSpot);
   spec.expected_run_s = amount(message, field::kExpectedRunS);
   if (spec.standing()) spec.expected_run_s = jobs::kNoEnd;
-  spec.checkpoint_s = amount(message, field::kCheckpointS);
-  spec.save_s = amount(message, field::kSaveS);
+  spec.checkpoint_s = amount(message, field::kCheckpointIntervalS);
+  spec.save_s = amount(message, field::kCheckpointSaveS);
   if (const auto* deadline = optional_field(message, field::kDeadlineS))
     spec.deadline_s = amount_of(*deadline, field::kDeadlineS);
   return submission;
@@ -69,12 +69,12 @@
 
 }  // namespace
 
-bool valid_job_id(std::string_view id) {
+bool is_valid_job_id(std::string_view id) {
   constexpr std::string_view kPrefix = "req-";
-  constexpr std::size_t kMostDigits = 20;
+  constexpr std::size_t kMaxDigits = 20;
   if (!id.starts_with(kPrefix)) return false;
   id.remove_prefix(kPrefix.size());
-  return !id.empty() && id.size() <= kMostDigits &&
+  return !id.empty() && id.size() <= kMaxDigits &&
          id.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
--- a/tests/agent/machine_test.cpp
+++ b/tests/agent/machine_test.cpp
@@ -9,7 +9,7 @@
 
 core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
 
-TEST(Machine, OnlyALaterMessageCounts) {
+TEST(Machine, MessageIsOutdatedUnlessItIsNewer) {
   struct Case {
     std::uint64_t incarnation, sequence;
     bool outdated;
@@ -25,46 +25,46 @@
         << c.incarnation << "." << c.sequence;
 }
 
-TEST(Machine, StaysUnreachableSinceTheFirstSignOfIt) {
+TEST(Machine, IsUnreachableSinceTheFirstUndeliveredMessage) {
   Machine machine;
   machine.mark_unreachable(at(100));
   machine.mark_unreachable(at(130));
   EXPECT_EQ(machine.unreachable_since, at(100));
   EXPECT_EQ(machine.unreachable_in_incarnation, at(130));
-  machine.heard();
-  EXPECT_FALSE(machine.unreachable());
+  machine.mark_reachable();
+  EXPECT_FALSE(machine.is_unreachable());
 }
 
-TEST(Machine, DropsTheImagesThatWereNotUsedForLongest) {
+TEST(Machine, EvictsLeastRecentlyUsedImages) {
   struct Case {
     const char* name;
     std::optional<double> cache_gb;
-    std::vector<std::uint32_t> uses, held;
+    std::vector<std::uint32_t> uses, cached;
   };
   for (const auto& c :
-       {Case{"fit", 30, {0, 1, 2}, {0, 1, 2}}, Case{"too_many", 29, {0, 1, 2}, {1, 2}},
-        Case{"used_again", 29, {0, 1, 0, 2}, {0, 2}}, Case{"larger_than_cache", 5, {0, 1}, {1}},
+       {Case{"all_fit", 30, {0, 1, 2}, {0, 1, 2}}, Case{"larger_than_cache_in_total", 29, {0, 1, 2}, {1, 2}},
+        Case{"used_again", 29, {0, 1, 0, 2}, {0, 2}}, Case{"single_image_larger_than_cache", 5, {0, 1}, {1}},
         Case{"unknown_type", std::nullopt, {0, 1, 2, 3}, {0, 1, 2, 3}}}) {
     Machine machine;
     for (const auto image : c.uses) machine.use_image(core::ImageId{image}, 10, c.cache_gb);
-    std::vector<std::uint32_t> held;
-    for (const auto& [image, _] : machine.images) held.push_back(image.index);
-    EXPECT_EQ(held, c.held) << c.name;
+    std::vector<std::uint32_t> cached;
+    for (const auto& [image, _] : machine.cached_images) cached.push_back(image.index);
+    EXPECT_EQ(cached, c.cached) << c.name;
   }
 }
 
-// Pauses of 8 s, 16 s ... from the second machine on, a minute at most.
-TEST(JobFailures, PauseGrowsWithTheMachines) {
+// The backoff is 8 s with the second machine, 16 s with the third, and so on, up to 60 s.
+TEST(JobFailures, BackoffGrowsWithTheNumberOfMachines) {
   JobFailures failures;
   failures.record(core::MachineId{0}, at(100));
   failures.record(core::MachineId{0}, at(101));
   EXPECT_EQ(failures.retry_at, core::TimePoint{});
-  std::vector<double> pauses_s;
+  std::vector<double> backoffs_s;
   for (std::uint32_t machine = 1; machine < 5; ++machine) {
     failures.record(core::MachineId{machine}, at(110));
-    pauses_s.push_back(core::since(at(110), failures.retry_at));
+    backoffs_s.push_back(core::since(at(110), failures.retry_at));
   }
-  EXPECT_EQ(pauses_s, (std::vector<double>{8, 16, 32, 60}));
+  EXPECT_EQ(backoffs_s, (std::vector<double>{8, 16, 32, 60}));
   EXPECT_EQ(failures.failures, 6);
 }
 
--- a/tests/assignments/recorder_plans_test.cpp
+++ b/tests/assignments/recorder_plans_test.cpp
@@ -52,7 +52,7 @@
 class PlanPlacements : public testing::Test {
  protected:
   PlanPlacements() {
-    leader.state.fleet.intern(leader.state.names, "host-100000").agent_incarnation = 5;
+    leader.state.fleet.find_or_add(leader.state.names, "host-100000").agent_incarnation = 5;
     job = leader.job("req-1", 4, false);
   }
   PlannedPlacement placement(std::uint32_t task) {
@@ -98,8 +98,8 @@
 }
 
 TEST_F(PlanPlacements, NothingIsPlacedOnAMachineThatGoesAway) {
-  auto& machine = leader.state.fleet.intern(leader.state.names, "host-100000");
-  for (auto* goes_away : {&machine.gone, &machine.terminating}) {
+  auto& machine = leader.state.fleet.find_or_add(leader.state.names, "host-100000");
+  for (auto* goes_away : {&machine.deleted, &machine.terminating}) {
     *goes_away = true;
     EXPECT_TRUE(plan({placement(0)}).transaction.starts.empty());
     *goes_away = false;
--- a/tests/assignments/single_partition.hpp
+++ b/tests/assignments/single_partition.hpp
@@ -20,7 +20,7 @@
 struct SinglePartition {
   explicit SinglePartition(const config::Settings& settings = single_partition_settings())
       : state(settings, {}) {
-    state.loaded = true;
+    state.cache_loaded = true;
     state.incarnation = 7;
     state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
     state.cache.synchronized(40);
--- a/tests/autoscaling/scale_in_plan_test.cpp
+++ b/tests/autoscaling/scale_in_plan_test.cpp
@@ -32,7 +32,7 @@
     healthy("m");
   }
   agent::Machine& healthy(const std::string& name) {
-    auto& machine = state.fleet.intern(state.names, name);
+    auto& machine = state.fleet.find_or_add(state.names, name);
     machine.partition = partition;
     machine.type = state.fleet.machine_type_ids[0];
     machine.first_seen = ago(9000);
@@ -89,7 +89,7 @@
         Case{"failed_and_gone",
              [](Scene& s) {
                s.machine().status = "failed";
-               s.machine().gone = true;
+               s.machine().deleted = true;
              },
              kKept},
         Case{"state_is_not_current",
--- a/tests/autoscaling/scale_out_plan_test.cpp
+++ b/tests/autoscaling/scale_out_plan_test.cpp
@@ -23,7 +23,7 @@
       state.fleet.machine_type_ids.push_back(state.names.types.intern(type.name));
   }
   agent::Machine& machine(const std::string& name, std::uint32_t type, bool spot, const char* status) {
-    auto& machine = state.fleet.intern(state.names, name);
+    auto& machine = state.fleet.find_or_add(state.names, name);
     machine.partition = partition;
     machine.type = state.fleet.machine_type_ids.at(type);
     machine.spot = spot;
@@ -44,7 +44,7 @@
     sched::JobClassProfile job_class;
     job_class.spot = true;
     job_class.tasks = 3;
-    state.job_classes.push_back(job_class);
+    state.job_class_profiles.push_back(job_class);
   }
   scheduling::Backlog backlog;
   CapacityBackoff backoff;
--- a/tests/controller/quota_usage_test.cpp
+++ b/tests/controller/quota_usage_test.cpp
@@ -10,49 +10,51 @@
 using assignments::single_partition_settings;
 using assignments::SinglePartition;
 
-void apply_job(SinglePartition& p, const std::string& name, jobs::JobRecord record) {
-  p.state.cache.apply({"jobs/" + name, jobs::to_json(record, p.state.names), ++p.revision});
+void apply_job(SinglePartition& fixture, const std::string& name, jobs::JobRecord record) {
+  fixture.state.cache.apply({"jobs/" + name, jobs::to_json(record, fixture.state.names), ++fixture.revision});
 }
 
-// A job of four tasks of two accelerators each, of which three are on machines.
+// A job of four tasks with two accelerators each. Three of the tasks are assigned.
 struct ExitCase {
   const char* name;
   std::vector<agent::ObservedExit> exits;  // the job and the partition are filled in
   double used;
 };
 class UsedByPartition : public testing::TestWithParam<ExitCase> {};
-TEST_P(UsedByPartition, CountsWhatMayStillRun) {
-  SinglePartition p;
-  const auto id = p.job("req", 4, jobs::Shape::array);
-  auto record = *p.state.cache.job(id);
+TEST_P(UsedByPartition, CountsAttemptsThatMayStillRun) {
+  SinglePartition fixture;
+  const auto id = fixture.job("req", 4, jobs::Shape::array);
+  auto record = *fixture.state.cache.job(id);
   record.spec.need = {0, 2, 0};
-  apply_job(p, "req", record);
-  assignments::AssignmentWriter writer(p.state, p.partition);
-  ASSERT_TRUE(writer.add(id, p.assignments(3, 9)));
+  apply_job(fixture, "req", record);
+  assignments::AssignmentWriter writer(fixture.state, fixture.partition);
+  ASSERT_TRUE(writer.add(id, fixture.assignments(3, 9)));
   assignments::PlannedTransaction transaction;
   writer.finish(transaction);
-  p.apply(transaction);
+  fixture.apply(transaction);
   for (auto exit : GetParam().exits) {
     exit.job = id;
-    exit.partition = p.partition;
-    p.state.fleet.observed_exits.insert(exit);
+    exit.partition = fixture.partition;
+    fixture.state.fleet.observed_exits.insert(exit);
   }
-  EXPECT_DOUBLE_EQ(used_by_partition(p.state.settings, p.state.cache, p.state.fleet)[0][0].gpus,
-                   GetParam().used);
-  EXPECT_DOUBLE_EQ(p.state.used_by_team()[0].gpus, GetParam().used);
-  // A job that is over still uses what its tasks hold until they are gone.
+  EXPECT_DOUBLE_EQ(
+      used_by_partition(fixture.state.settings, fixture.state.cache, fixture.state.fleet)[0][0].gpus,
+      GetParam().used);
+  EXPECT_DOUBLE_EQ(fixture.state.used_by_team()[0].gpus, GetParam().used);
+  // A cancelled job still uses the resources of its tasks until they have ended.
   record.status = jobs::Status::cancelled;
   record.ranges.clear();
-  apply_job(p, "req", record);
-  EXPECT_DOUBLE_EQ(used_by_partition(p.state.settings, p.state.cache, p.state.fleet)[0][0].gpus,
-                   GetParam().used);
+  apply_job(fixture, "req", record);
+  EXPECT_DOUBLE_EQ(
+      used_by_partition(fixture.state.settings, fixture.state.cache, fixture.state.fleet)[0][0].gpus,
+      GetParam().used);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, UsedByPartition,
-    testing::Values(ExitCase{"none_ended", {}, 6}, ExitCase{"one_done", {{{}, {}, 1, 9, true}}, 4},
-                    ExitCase{"one_gone", {{{}, {}, 1, 9, false}}, 4},
-                    ExitCase{"one_done_and_gone", {{{}, {}, 1, 9, true}, {{}, {}, 1, 9, false}}, 4},
-                    ExitCase{"an_earlier_attempt", {{{}, {}, 1, 8, true}}, 6}),
+    testing::Values(ExitCase{"no_exit", {}, 6}, ExitCase{"one_done", {{{}, {}, 1, 9, true}}, 4},
+                    ExitCase{"one_ended", {{{}, {}, 1, 9, false}}, 4},
+                    ExitCase{"one_done_and_ended", {{{}, {}, 1, 9, true}, {{}, {}, 1, 9, false}}, 4},
+                    ExitCase{"earlier_attempt", {{{}, {}, 1, 8, true}}, 6}),
     [](const auto& info) { return std::string(info.param.name); });
 
 // Three jobs of one team, in order of submission.
@@ -63,21 +65,21 @@
   bool within[3];
 };
 class WithinGuarantee : public testing::TestWithParam<GuaranteeCase> {};
-TEST_P(WithinGuarantee, OlderJobsComeFirst) {
+TEST_P(WithinGuarantee, IsGrantedToOlderJobsFirst) {
   const auto& c = GetParam();
   auto settings = single_partition_settings();
   settings.teams = {c.team};
-  SinglePartition p(settings);
-  for (int i : {2, 0, 1}) {  // read in another order than submitted
+  SinglePartition fixture(settings);
+  for (int i : {2, 0, 1}) {  // added in another order than submitted
     const auto name = "req-" + std::to_string(i);
-    auto record = *p.state.cache.job(p.job(name, 2, jobs::Shape::array));
+    auto record = *fixture.state.cache.job(fixture.job(name, 2, jobs::Shape::array));
     record.spec.need = c.need[i];
     record.spec.submitted_s = 1000 + i;
-    apply_job(p, name, record);
+    apply_job(fixture, name, record);
   }
-  const auto within = within_guarantee(p.state.settings, p.state.cache);
+  const auto within = jobs_within_guarantee(fixture.state.settings, fixture.state.cache);
   for (int i = 0; i < 3; ++i)
-    EXPECT_EQ(within.contains(*p.state.names.jobs.find("req-" + std::to_string(i))), c.within[i]) << i;
+    EXPECT_EQ(within.contains(*fixture.state.names.jobs.find("req-" + std::to_string(i))), c.within[i]) << i;
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, WithinGuarantee,
@@ -85,7 +87,7 @@
         GuaranteeCase{"no_guarantee", {"red", 0, 8, 0, 8}, {{1}, {1}, {1}}, {false, false, false}},
         GuaranteeCase{"processors", {"red", 8, 0, 0, 0}, {{2}, {2}, {1}}, {true, true, false}},
         GuaranteeCase{"accelerators", {"red", 0, 0, 4, 0}, {{9, 1}, {9, 1}, {9, 0}}, {true, true, true}},
-        GuaranteeCase{"a_job_beyond_it_counts_for_later_ones",
+        GuaranteeCase{"job_beyond_it_counts_against_later_ones",
                       {"red", 0, 0, 4, 0},
                       {{0, 1}, {0, 4}, {0, 1}},
                       {true, false, false}},
--- a/tests/controller/runtime_test.cpp
+++ b/tests/controller/runtime_test.cpp
@@ -8,7 +8,7 @@
 namespace finchrun::controller {
 namespace {
 
-// The simulated clock, and an event loop that is run up to each moment that it shows.
+// Runs the event loop under a simulated clock.
 class SimulatedTime : public testing::Test {
  protected:
   void SetUp() override { core::Steady::simulate(now_); }
@@ -16,7 +16,7 @@
   void advance(double seconds) {
     now_ += core::secs(seconds);
     core::Steady::simulate(now_);
-    // Timers are looked at once a poll: two in a row without work show that nothing is due.
+    // Timers are checked once per poll, so two polls without work show that nothing is due.
     for (int idle = 0; idle < 2;) idle = io_.poll() > 0 ? 0 : idle + 1;
     io_.restart();
   }
@@ -40,22 +40,22 @@
   int woken_ = 0;
 };
 
-TEST_F(RuntimeTest, JitterIsOneFifthAtMostAndSpreadOverAllOfThat) {
+TEST_F(RuntimeTest, JitterCoversPlusMinusTwentyPercent) {
   Runtime runtime(io_, 7);
-  const core::Steady::duration least = core::secs(8), most = core::secs(12);
+  const core::Steady::duration min_delay = core::secs(8), max_delay = core::secs(12);
   int low = 0, high = 0;
   for (int i = 0; i < 1000; ++i) {
-    const auto pause = runtime.jitter(10);
-    ASSERT_GE(pause, least);
-    ASSERT_LE(pause, most);
-    low += pause < core::secs(8.5) ? 1 : 0;
-    high += pause > core::secs(11.5) ? 1 : 0;
+    const auto delay = runtime.jitter(10);
+    ASSERT_GE(delay, min_delay);
+    ASSERT_LE(delay, max_delay);
+    low += delay < core::secs(8.5) ? 1 : 0;
+    high += delay > core::secs(11.5) ? 1 : 0;
   }
   EXPECT_GT(low, 0);
   EXPECT_GT(high, 0);
 }
 
-TEST_F(RuntimeTest, JitterFollowsTheSeed) {
+TEST_F(RuntimeTest, JitterDependsOnlyOnTheSeed) {
   Runtime one(io_, 7), same(io_, 7), other(io_, 8);
   const auto first = one.jitter(10);
   EXPECT_EQ(first, same.jitter(10));
@@ -65,18 +65,18 @@
 TEST_F(RuntimeTest, SleepLastsForTheJitteredTime) {
   Runtime runtime(io_, 7);
   bool over = false;
-  const auto nap = [&]() -> asio::awaitable<void> {
+  const auto sleep = [&]() -> asio::awaitable<void> {
     co_await runtime.sleep(10);
     over = true;
   };
-  start(nap());
+  start(sleep());
   advance(7.9);
   EXPECT_FALSE(over);
   advance(4.2);
   EXPECT_TRUE(over);
 }
 
-TEST_F(RuntimeTest, TaskThatThrowsEndsAlone) {
+TEST_F(RuntimeTest, ExceptionInTaskEndsOnlyThatTask) {
   Runtime runtime(io_, 7);
   const auto fails = []() -> asio::awaitable<void> {
     throw std::runtime_error("no answer");
@@ -93,7 +93,7 @@
   EXPECT_TRUE(ran);
 }
 
-TEST_F(RuntimeTest, LoopThatThrowsEndsTheProcess) {
+TEST_F(RuntimeTest, ExceptionInLoopEndsTheProcess) {
   testing::FLAGS_gtest_death_test_style = "threadsafe";
   const auto fails = []() -> asio::awaitable<void> {
     throw std::runtime_error("bug");
@@ -116,7 +116,7 @@
   EXPECT_EQ(woken_, 1);
 }
 
-TEST_F(WakeupTest, WaitEndsAfterItsTimeWithoutJitter) {
+TEST_F(WakeupTest, WaitEndsAfterTimeoutWithoutJitter) {
   start(wait_once(10));
   advance(9.99);
   EXPECT_EQ(woken_, 0);
@@ -124,7 +124,7 @@
   EXPECT_EQ(woken_, 1);
 }
 
-TEST_F(WakeupTest, NotificationWhileNobodyWaitsIsLost) {
+TEST_F(WakeupTest, NotificationWithoutWaiterIsLost) {
   wakeup_.notify();
   start(wait_once(10));
   advance(5);
--- a/tests/gateway/admission_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -29,10 +29,11 @@
   return type;
 }
 
-// Two zones. `g8` is in both, `c16` in zone a alone. Team vision may book 32 processors and 8 accelerators.
+// Two zones. `g8` is offered in both, `c16` only in zone a. The limit of team vision is 32 processors and 8
+// accelerators.
 struct Deployment {
   Deployment() : state(two_zones(), {}) {
-    state.loaded = true;
+    state.cache_loaded = true;
     state.fleet.machine_types = {machine_type("g8", {16, 8, 128}, {"a", "b"}),
                                  machine_type("c16", {16, 0, 64}, {"a"})};
     for (const auto& type : state.fleet.machine_types)
@@ -65,66 +66,87 @@
   return submission;
 }
 
-struct ImpossibleCase {
+struct InfeasibleCase {
   const char* name;
   std::function<void(wire::Submission&)> change;
-  std::optional<Impossible> reason;
+  std::optional<InfeasibleReason> reason;
 };
-void PrintTo(const ImpossibleCase& c, std::ostream* out) { *out << c.name; }
+void PrintTo(const InfeasibleCase& test_case, std::ostream* out) { *out << test_case.name; }
 
-class WhyNeverRuns : public testing::TestWithParam<ImpossibleCase> {};
-TEST_P(WhyNeverRuns, NamesTheReason) {
+class Feasibility : public testing::TestWithParam<InfeasibleCase> {};
+TEST_P(Feasibility, GivesTheReasonWhyAJobCanNeverRun) {
   Deployment deployment;
   auto submission = array_of_two();
   GetParam().change(submission);
-  EXPECT_EQ(why_never_runs(deployment.state, submission), GetParam().reason);
+  EXPECT_EQ(infeasible_reason(deployment.state, submission), GetParam().reason);
   if (!GetParam().reason) return;
   const auto admission = decide_admission(deployment.state, submission, kNow, kWallS);
-  ASSERT_TRUE(std::holds_alternative<NeverRuns>(admission));
-  EXPECT_EQ(std::get<NeverRuns>(admission).reason, *GetParam().reason);
+  ASSERT_TRUE(std::holds_alternative<Infeasible>(admission));
+  EXPECT_EQ(std::get<Infeasible>(admission).reason, *GetParam().reason);
 }
-using S = wire::Submission;
+using Submission = wire::Submission;
 INSTANTIATE_TEST_SUITE_P(
-    Table, WhyNeverRuns,
-    testing::Values(
-        ImpossibleCase{"can_run", [](S&) {}, std::nullopt},
-        ImpossibleCase{"team_not_in_the_settings", [](S& s) { s.team = "nobody"; }, Impossible::unknown_team},
-        ImpossibleCase{"larger_than_any_machine", [](S& s) { s.spec.need.cpus = 17; },
-                       Impossible::fits_no_machine_type},
-        ImpossibleCase{"allowed_type_is_too_small", [](S& s) { s.types = {{"c16"}}; },
-                       Impossible::fits_no_machine_type},
-        ImpossibleCase{"zone_without_the_allowed_type",
-                       [](S& s) { s.types = {{"c16"}}, s.zone = "b", s.spec.need.gpus = 0; },
-                       Impossible::fits_no_machine_type},
-        ImpossibleCase{"array_beyond_the_limit_runs_in_turns", [](S& s) { s.spec.tasks = 100; },
-                       std::nullopt},
-        ImpossibleCase{"gang_beyond_the_limit",
-                       [](S& s) { s.spec.shape = jobs::Shape::gang, s.spec.tasks = 5; },
-                       Impossible::over_team_limit},
-        ImpossibleCase{"gang_at_the_limit", [](S& s) { s.spec.shape = jobs::Shape::gang, s.spec.tasks = 4; },
-                       std::nullopt},
-        ImpossibleCase{"gang_in_one_zone_and_spread",
-                       [](S& s) { s.spec.shape = jobs::Shape::gang, s.spec.one_zone = s.spec.spread = true; },
-                       Impossible::one_zone_and_spread},
-        ImpossibleCase{"array_may_ask_for_both", [](S& s) { s.spec.one_zone = s.spec.spread = true; },
-                       std::nullopt},
-        ImpossibleCase{"gang_spread_over_one_zone",
-                       [](S& s) { s.spec.shape = jobs::Shape::gang, s.spec.spread = true, s.zone = "a"; },
-                       Impossible::no_second_zone},
-        ImpossibleCase{"gang_of_one_needs_no_second_zone",
-                       [](S& s) {
-                         s.spec.shape = jobs::Shape::gang, s.spec.spread = true, s.zone = "a";
-                         s.spec.tasks = 1;
-                       },
-                       std::nullopt},
-        ImpossibleCase{"gang_that_no_transaction_can_record",
-                       [](S& s) {
-                         s.spec.shape = jobs::Shape::gang, s.spec.tasks = 100000, s.spec.need = {0, 0, 1};
-                       },
-                       Impossible::too_many_to_start_at_once}),
+    Table, Feasibility,
+    testing::Values(InfeasibleCase{"feasible", [](Submission&) {}, std::nullopt},
+                    InfeasibleCase{"unknown_team", [](Submission& submission) { submission.team = "nobody"; },
+                                   InfeasibleReason::unknown_team},
+                    InfeasibleCase{"larger_than_any_machine",
+                                   [](Submission& submission) { submission.spec.need.cpus = 17; },
+                                   InfeasibleReason::fits_no_machine_type},
+                    InfeasibleCase{"allowed_type_is_too_small",
+                                   [](Submission& submission) { submission.allowed_types = {{"c16"}}; },
+                                   InfeasibleReason::fits_no_machine_type},
+                    InfeasibleCase{"zone_without_the_allowed_type",
+                                   [](Submission& submission) {
+                                     submission.allowed_types = {{"c16"}}, submission.zone = "b",
+                                     submission.spec.need.gpus = 0;
+                                   },
+                                   InfeasibleReason::fits_no_machine_type},
+                    InfeasibleCase{"array_beyond_the_limit_runs_in_parts",
+                                   [](Submission& submission) { submission.spec.tasks = 100; }, std::nullopt},
+                    InfeasibleCase{"gang_beyond_the_limit",
+                                   [](Submission& submission) {
+                                     submission.spec.shape = jobs::Shape::gang, submission.spec.tasks = 5;
+                                   },
+                                   InfeasibleReason::over_team_limit},
+                    InfeasibleCase{"gang_at_the_limit",
+                                   [](Submission& submission) {
+                                     submission.spec.shape = jobs::Shape::gang, submission.spec.tasks = 4;
+                                   },
+                                   std::nullopt},
+                    InfeasibleCase{"gang_in_one_zone_and_spread",
+                                   [](Submission& submission) {
+                                     submission.spec.shape = jobs::Shape::gang,
+                                     submission.spec.one_zone = submission.spec.spread = true;
+                                   },
+                                   InfeasibleReason::single_zone_with_spread},
+                    InfeasibleCase{"array_may_ask_for_both",
+                                   [](Submission& submission) {
+                                     submission.spec.one_zone = submission.spec.spread = true;
+                                   },
+                                   std::nullopt},
+                    InfeasibleCase{"gang_spread_over_one_zone",
+                                   [](Submission& submission) {
+                                     submission.spec.shape = jobs::Shape::gang, submission.spec.spread = true,
+                                     submission.zone = "a";
+                                   },
+                                   InfeasibleReason::spread_needs_second_zone},
+                    InfeasibleCase{"gang_of_one_needs_no_second_zone",
+                                   [](Submission& submission) {
+                                     submission.spec.shape = jobs::Shape::gang, submission.spec.spread = true,
+                                     submission.zone = "a";
+                                     submission.spec.tasks = 1;
+                                   },
+                                   std::nullopt},
+                    InfeasibleCase{"gang_too_large_for_one_transaction",
+                                   [](Submission& submission) {
+                                     submission.spec.shape = jobs::Shape::gang,
+                                     submission.spec.tasks = 100000, submission.spec.need = {0, 0, 1};
+                                   },
+                                   InfeasibleReason::gang_too_large}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(Admission, RecordsANewJobOnlyIfNoneIsRecorded) {
+TEST(Admission, NewJobIsRecordedOnlyIfNoRecordExists) {
   Deployment deployment;
   const auto admission = decide_admission(deployment.state, array_of_two(), kNow, kWallS);
   ASSERT_TRUE(std::holds_alternative<Admitted>(admission));
@@ -141,35 +163,36 @@
   EXPECT_EQ(tasks, 2u);
 }
 
-TEST(Admission, CountsItsTasksAsWaiting) {
+TEST(Admission, NewJobAddsToTheWaitingDemand) {
   Deployment deployment;
   decide_admission(deployment.state, array_of_two(), kNow, kWallS);
   core::Resources waiting;
-  for (const auto& of_partition : deployment.state.load.waiting) waiting += of_partition;
+  for (const auto& partition_waiting : deployment.state.cluster_load.waiting_demand)
+    waiting += partition_waiting;
   EXPECT_DOUBLE_EQ(waiting.gpus, 2);
 }
 
-TEST(Admission, AKnownJobIsNeverRefused) {
+TEST(Admission, AcceptedJobIsNeverRejected) {
   for (const auto status : {jobs::Status::live, jobs::Status::done, jobs::Status::cancelled}) {
     Deployment deployment;
     auto submission = array_of_two();
     deployment.record_job(submission, status);
-    submission.team = "nobody";  // has left the settings since
+    submission.team = "nobody";  // removed from the settings
     const auto admission = decide_admission(deployment.state, submission, kNow, kWallS);
-    EXPECT_TRUE(std::holds_alternative<AlreadyKnown>(admission));
+    EXPECT_TRUE(std::holds_alternative<AlreadyAccepted>(admission));
   }
 }
 
-TEST(Admission, WaitsForTheStateAndTheMachineTypes) {
+TEST(Admission, IsNotReadyWithoutStateOrMachineTypes) {
   Deployment not_loaded, no_types;
-  not_loaded.state.loaded = false;
+  not_loaded.state.cache_loaded = false;
   no_types.state.fleet.machine_types.clear();
   for (auto* deployment : {&not_loaded, &no_types})
     EXPECT_TRUE(
         std::holds_alternative<NotReady>(decide_admission(deployment->state, array_of_two(), kNow, kWallS)));
 }
 
-TEST(Admission, AServiceWaitsForTheUpgradeOfAllControllers) {
+TEST(Admission, ServiceRequiresTheUpgradeOfAllControllers) {
   auto service = array_of_two();
   service.spec.shape = jobs::Shape::standing;
   service.spec.expected_run_s = jobs::kNoEnd;
@@ -177,23 +200,23 @@
   deployment.member("perch-0", R"({"inc":1,"level":1})");
   deployment.member("perch-1", R"({"inc":2})");
   EXPECT_TRUE(
-      std::holds_alternative<TooEarlyForUpgrade>(decide_admission(deployment.state, service, kNow, kWallS)));
+      std::holds_alternative<AwaitingUpgrade>(decide_admission(deployment.state, service, kNow, kWallS)));
   deployment.member("perch-1", R"({"inc":3,"level":1})");
   EXPECT_TRUE(std::holds_alternative<Admitted>(decide_admission(deployment.state, service, kNow, kWallS)));
 }
 
-TEST(Admission, ARecordOverTheLimitNamesItsLongestField) {
+TEST(Admission, RecordOverTheLimitNamesItsLongestField) {
   Deployment deployment;
   deployment.state.settings.state_limits.value_kb = 0.1;
   auto submission = array_of_two();
   submission.image = std::string(100, 'i');
   auto admission = decide_admission(deployment.state, submission, kNow, kWallS);
-  ASSERT_TRUE(std::holds_alternative<NeverRuns>(admission));
-  EXPECT_EQ(text_of(std::get<NeverRuns>(admission).reason), "plate: too long to be recorded");
-  submission.types = {{"g8", std::string(150, 't')}};
+  ASSERT_TRUE(std::holds_alternative<Infeasible>(admission));
+  EXPECT_EQ(error_text(std::get<Infeasible>(admission).reason), "plate: too long to be recorded");
+  submission.allowed_types = {{"g8", std::string(150, 't')}};
   admission = decide_admission(deployment.state, submission, kNow, kWallS);
-  ASSERT_TRUE(std::holds_alternative<NeverRuns>(admission));
-  EXPECT_EQ(text_of(std::get<NeverRuns>(admission).reason), "racks: too long to be recorded");
+  ASSERT_TRUE(std::holds_alternative<Infeasible>(admission));
+  EXPECT_EQ(error_text(std::get<Infeasible>(admission).reason), "racks: too long to be recorded");
 }
 
 TEST(Cancellation, ComparesTheRevisionOfTheLiveRecord) {
@@ -208,7 +231,7 @@
   EXPECT_EQ(record.status, jobs::Status::cancelled);
   for (const auto status : {jobs::Status::done, jobs::Status::cancelled}) {
     deployment.record_job(array_of_two(), status);
-    EXPECT_TRUE(std::holds_alternative<AlreadyOver>(decide_cancellation(deployment.state, "req-1")));
+    EXPECT_TRUE(std::holds_alternative<AlreadyFinished>(decide_cancellation(deployment.state, "req-1")));
   }
 }
 
