--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -1,4 +1,4 @@
-// What is decided about agents from the state alone: probes, direct starts, stops, and whose a heartbeat is.
+// Tests of the decisions about agents: probes, direct starts, stops, and routing of heartbeats.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -15,12 +15,12 @@
 using assignments::SinglePartition;
 using wire::Command;
 
-constexpr std::uint64_t kToken = 40;  // our fencing token for partition a.0
+constexpr std::uint64_t kToken = 40;  // this controller's fencing token for partition a.0
 const core::TimePoint kNow{core::secs(1000)};
 core::TimePoint ago(double seconds) { return kNow - core::secs(seconds); }
 
-// We lead partition a.0. Machine host-100000 obeys us in incarnation 1, and task 0 of req-1 is assigned to
-// it.
+// The controller under test leads partition a.0. The agent of machine host-100000 obeys it in incarnation 1,
+// and task 0 of req-1 is assigned to the machine.
 struct Leader : SinglePartition {
   Leader() {
     state.synchronized_at = kNow;
@@ -30,8 +30,8 @@
     assign(job_id, assignments(1, 7));
     machine = add_machine(0);
   }
-  agent::Machine* add_machine(int i) {
-    auto& added = state.fleet.intern(state.names, "host-" + std::to_string(100000 + i));
+  agent::Machine* add_machine(int index) {
+    auto& added = state.fleet.find_or_add(state.names, "host-" + std::to_string(100000 + index));
     added.partition = partition;
     added.endpoint = "10.1.0.1:9000";
     added.has_heartbeat = true;
@@ -69,11 +69,11 @@
   std::function<void(Leader&)> change;
   bool expected;
 };
-void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
+void PrintTo(const Case& test_case, std::ostream* out) { *out << test_case.name; }
 std::string name_of_case(const testing::TestParamInfo<Case>& info) { return info.param.name; }
 
 class Probes : public testing::TestWithParam<Case> {};
-TEST_P(Probes, GoToAgentsThatMayNotObeyOrNotReachUs) {
+TEST_P(Probes, GoToAgentsThatMayBeUnreachableOrNotObey) {
   Leader leader;
   GetParam().change(leader);
   EXPECT_EQ(!machines_to_probe(leader.state, kNow).empty(), GetParam().expected);
@@ -81,36 +81,51 @@
 INSTANTIATE_TEST_SUITE_P(
     Table, Probes,
     testing::Values(
-        Case{"heard_and_obeying", [](Leader&) {}, false},
-        Case{"knows_an_earlier_token", [](Leader& l) { l.machine->fencing_token = kToken - 1; }, true},
-        Case{"probed_just_now",
-             [](Leader& l) { l.machine->fencing_token = kToken - 1, l.machine->last_probe = ago(2); }, false},
-        Case{"unreachable", [](Leader& l) { l.machine->mark_unreachable(kNow); }, true},
-        Case{"unreachable_and_probed_lately",
-             [](Leader& l) { l.machine->mark_unreachable(kNow), l.machine->last_probe = ago(4); }, false},
-        Case{"silent_past_its_lease",
-             [](Leader& l) { l.machine->last_heartbeat = l.machine->first_seen = ago(11); }, true},
-        Case{"silent_with_nothing_assigned",
-             [](Leader& l) {
-               l.machine->last_heartbeat = l.machine->first_seen = ago(11);
-               l.assign(l.job_id, {});
+        Case{"reachable_and_obeying", [](Leader&) {}, false},
+        Case{"knows_an_older_token", [](Leader& leader) { leader.machine->fencing_token = kToken - 1; },
+             true},
+        Case{"older_token_but_probed_recently",
+             [](Leader& leader) {
+               leader.machine->fencing_token = kToken - 1, leader.machine->last_probe = ago(2);
              },
              false},
-        Case{"never_heard_while_it_starts",
-             [](Leader& l) { l.machine->has_heartbeat = false, l.machine->status = "starting"; }, false},
-        Case{"never_heard_though_it_runs",
-             [](Leader& l) { l.machine->has_heartbeat = false, l.machine->status = "running"; }, true},
-        Case{"being_returned", [](Leader& l) { l.machine->fencing_token = 1, l.machine->terminating = true; },
+        Case{"unreachable", [](Leader& leader) { leader.machine->mark_unreachable(kNow); }, true},
+        Case{"unreachable_but_probed_recently",
+             [](Leader& leader) {
+               leader.machine->mark_unreachable(kNow), leader.machine->last_probe = ago(4);
+             },
+             false},
+        Case{"silent_for_longer_than_its_lease",
+             [](Leader& leader) { leader.machine->last_heartbeat = leader.machine->first_seen = ago(11); },
+             true},
+        Case{"silent_without_assignments",
+             [](Leader& leader) {
+               leader.machine->last_heartbeat = leader.machine->first_seen = ago(11);
+               leader.assign(leader.job_id, {});
+             },
              false},
-        Case{"another_leads",
-             [](Leader& l) {
-               l.machine->fencing_token = 1;
-               l.state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-1","inc":2})"), 90});
+        Case{"no_heartbeat_while_starting",
+             [](Leader& leader) {
+               leader.machine->has_heartbeat = false, leader.machine->status = "starting";
+             },
+             false},
+        Case{
+            "no_heartbeat_while_running",
+            [](Leader& leader) { leader.machine->has_heartbeat = false, leader.machine->status = "running"; },
+            true},
+        Case{"terminating",
+             [](Leader& leader) { leader.machine->fencing_token = 1, leader.machine->terminating = true; },
+             false},
+        Case{"another_leader",
+             [](Leader& leader) {
+               leader.machine->fencing_token = 1;
+               leader.state.cache.apply(
+                   {"parts/a.0", boost::json::parse(R"({"owner":"perch-1","inc":2})"), 90});
              },
              false}),
     name_of_case);
 
-TEST(Probes, GoFirstToThoseWhoDoNotKnowOurToken) {
+TEST(Probes, PreferAgentsThatDoNotKnowTheToken) {
   Leader leader;
   for (int i = 1; i <= 20; ++i) {
     auto* machine = leader.add_machine(i);
@@ -125,7 +140,7 @@
 }
 
 class DirectStarts : public testing::TestWithParam<Case> {};
-TEST_P(DirectStarts, LeaveOnlyWhileTheyAreValid) {
+TEST_P(DirectStarts, AreSentOnlyWhileTheyAreValid) {
   Leader leader;
   GetParam().change(leader);
   std::vector<Command> commands{{Command::Kind::start, "req-1", 0, 7, 0},
@@ -139,14 +154,17 @@
 INSTANTIATE_TEST_SUITE_P(
     Table, DirectStarts,
     testing::Values(
-        Case{"as_recorded", [](Leader&) {}, true}, Case{"cancelled", [](Leader& l) { l.cancel(); }, false},
-        Case{"recorded_no_more", [](Leader& l) { l.assign(l.job_id, {}); }, false},
-        Case{"of_an_earlier_attempt", [](Leader& l) { l.assign(l.job_id, l.assignments(1, 8)); }, false},
-        Case{"agent_in_its_next_incarnation", [](Leader& l) { l.machine->agent_incarnation = 2; }, false},
-        Case{"a_command_got_no_answer", [](Leader& l) { l.machine->direct_command_failed_at = ago(19); },
+        Case{"recorded", [](Leader&) {}, true},
+        Case{"cancelled", [](Leader& leader) { leader.cancel(); }, false},
+        Case{"no_longer_recorded", [](Leader& leader) { leader.assign(leader.job_id, {}); }, false},
+        Case{"earlier_attempt",
+             [](Leader& leader) { leader.assign(leader.job_id, leader.assignments(1, 8)); }, false},
+        Case{"agent_in_a_newer_incarnation", [](Leader& leader) { leader.machine->agent_incarnation = 2; },
              false},
-        Case{"a_command_got_no_answer_long_ago",
-             [](Leader& l) { l.machine->direct_command_failed_at = ago(21); }, true}),
+        Case{"direct_command_unanswered_recently",
+             [](Leader& leader) { leader.machine->direct_command_failed_at = ago(19); }, false},
+        Case{"direct_command_unanswered_long_ago",
+             [](Leader& leader) { leader.machine->direct_command_failed_at = ago(21); }, true}),
     name_of_case);
 
 TEST(CommandAnswers, AreInterpretedByStatusAndBody) {
@@ -171,72 +189,73 @@
   }
 }
 
-TEST(CommandAnswers, OneThatIsMissingMarksTheIncarnationThatWasAddressed) {
+TEST(CommandAnswers, NoAnswerMarksOnlyTheAddressedIncarnationUnreachable) {
   Leader leader;
-  CommandAnswer none;
-  none.delivery = Delivery::no_answer;
-  note_answer(leader.state, leader.machine->id, 2, none, kNow);
-  EXPECT_FALSE(leader.machine->unreachable());
-  note_answer(leader.state, leader.machine->id, 1, none, kNow);
-  EXPECT_TRUE(leader.machine->unreachable());
+  CommandAnswer no_answer;
+  no_answer.delivery = Delivery::no_answer;
+  apply_answer(leader.state, leader.machine->id, 2, no_answer, kNow);
+  EXPECT_FALSE(leader.machine->is_unreachable());
+  apply_answer(leader.state, leader.machine->id, 1, no_answer, kNow);
+  EXPECT_TRUE(leader.machine->is_unreachable());
   CommandAnswer executed;
   executed.delivery = Delivery::executed;
   executed.heartbeat = leader.heartbeat();
   executed.heartbeat->sequence = 5;
-  note_answer(leader.state, leader.machine->id, 1, executed, kNow);
-  EXPECT_FALSE(leader.machine->unreachable());
+  apply_answer(leader.state, leader.machine->id, 1, executed, kNow);
+  EXPECT_FALSE(leader.machine->is_unreachable());
   EXPECT_FALSE(leader.machine->direct_command_failed_at);
   EXPECT_EQ(leader.machine->sequence, 5u);
 }
 
-core::Steady::duration exactly(double seconds) { return core::secs(seconds); }
+core::Steady::duration without_jitter(double seconds) { return core::secs(seconds); }
 
-TEST(Stops, AreRepeatedWithGrowingPauses) {
+TEST(Stops, AreRepeatedWithExponentialBackoff) {
   Leader leader;
-  EXPECT_TRUE(take_due_stops(leader.state, 0, kNow, exactly).empty());
+  EXPECT_TRUE(take_due_stops(leader.state, 0, kNow, without_jitter).empty());
   leader.cancel();
   std::vector<double> sent_at;
   for (double s = 0; s < 32; s += 0.5)
-    if (!take_due_stops(leader.state, 0, kNow + core::secs(s), exactly).empty()) sent_at.push_back(s);
+    if (!take_due_stops(leader.state, 0, kNow + core::secs(s), without_jitter).empty()) sent_at.push_back(s);
   EXPECT_EQ(sent_at, (std::vector<double>{0, 1, 3, 7, 15, 23, 31}));
 }
 
 class StopsDue : public testing::TestWithParam<Case> {};
-TEST_P(StopsDue, ForWhatMayStillRun) {
+TEST_P(StopsDue, ForTasksThatMayStillRun) {
   Leader leader;
   leader.cancel();
   GetParam().change(leader);
-  const auto stops = take_due_stops(leader.state, 0, kNow, exactly);
+  const auto stops = take_due_stops(leader.state, 0, kNow, without_jitter);
   EXPECT_EQ(stops.contains(leader.machine->id), GetParam().expected);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, StopsDue,
-    testing::Values(Case{"assigned", [](Leader&) {}, true},
-                    Case{"ended",
-                         [](Leader& l) {
-                           l.state.fleet.observed_exits.insert({l.job_id, l.partition, 0, 7, false});
-                         },
-                         false},
-                    Case{"machine_deleted", [](Leader& l) { l.machine->gone = true; }, false},
-                    Case{"agent_never_heard", [](Leader& l) { l.machine->has_heartbeat = false; }, false},
-                    Case{"recorded_no_more", [](Leader& l) { l.assign(l.job_id, {}); }, false}),
+    testing::Values(
+        Case{"assigned", [](Leader&) {}, true},
+        Case{"ended",
+             [](Leader& leader) {
+               leader.state.fleet.observed_exits.insert({leader.job_id, leader.partition, 0, 7, false});
+             },
+             false},
+        Case{"machine_deleted", [](Leader& leader) { leader.machine->deleted = true; }, false},
+        Case{"no_heartbeat", [](Leader& leader) { leader.machine->has_heartbeat = false; }, false},
+        Case{"no_longer_recorded", [](Leader& leader) { leader.assign(leader.job_id, {}); }, false}),
     name_of_case);
 
-TEST(Stops, WaitWhileTooManyAreInFlight) {
+TEST(Stops, AreLimitedInFlight) {
   Leader leader;
   leader.cancel();
-  EXPECT_TRUE(take_due_stops(leader.state, kMostStopsInFlight, kNow, exactly).empty());
-  EXPECT_EQ(take_due_stops(leader.state, kMostStopsInFlight - 1, kNow, exactly).size(), 1u);
+  EXPECT_TRUE(take_due_stops(leader.state, kMaxStopsInFlight, kNow, without_jitter).empty());
+  EXPECT_EQ(take_due_stops(leader.state, kMaxStopsInFlight - 1, kNow, without_jitter).size(), 1u);
 }
 
-TEST(InFlight, CountsUntilTheTokenIsGone) {
+TEST(InFlight, CountsUntilTheTokenIsDestroyed) {
   auto counter = std::make_unique<core::InFlightCounter>();
   {
     const auto first = counter->take();
     EXPECT_EQ(counter->count(), 1u);
   }
   EXPECT_EQ(counter->count(), 0u);
-  const auto outlives = counter->take();
+  const auto outliving_token = counter->take();
   counter.reset();
 }
 
@@ -245,71 +264,83 @@
   std::function<void(Leader&, wire::Heartbeat&)> change;
   std::optional<HeartbeatRefusal> expected;
 };
-void PrintTo(const RefusalCase& c, std::ostream* out) { *out << c.name; }
-void claim(Leader& leader, const char* record) {
+void PrintTo(const RefusalCase& test_case, std::ostream* out) { *out << test_case.name; }
+void set_leadership(Leader& leader, const char* record) {
   leader.state.cache.apply({"parts/a.0", boost::json::parse(record), 90});
 }
 
 class Refusals : public testing::TestWithParam<RefusalCase> {};
-TEST_P(Refusals, SayWhyAHeartbeatIsNotAnswered) {
+TEST_P(Refusals, GiveTheReasonWhyAHeartbeatIsNotAnswered) {
   Leader leader;
   auto heartbeat = leader.heartbeat();
   GetParam().change(leader, heartbeat);
-  const auto refusal = why_not_answered(leader.state, heartbeat, partition_of(leader.state, heartbeat), kNow);
+  const auto refusal = find_refusal(leader.state, heartbeat, partition_of(leader.state, heartbeat), kNow);
   ASSERT_EQ(refusal.has_value(), GetParam().expected.has_value());
   if (refusal) {
     EXPECT_EQ(refusal->index(), GetParam().expected->index());
   }
 }
-using H = wire::Heartbeat;
+using Heartbeat = wire::Heartbeat;
 INSTANTIATE_TEST_SUITE_P(
     Table, Refusals,
     testing::Values(
-        RefusalCase{"ours", [](Leader&, H&) {}, std::nullopt},
-        RefusalCase{"zone_of_no_partition", [](Leader&, H& h) { h.zone = "z"; }, OutsideDeployment{}},
-        RefusalCase{"another_leads",
-                    [](Leader& l, H&) {
-                      claim(l, R"({"owner":"perch-1","inc":2})");
-                      l.state.cache.apply({"members/perch-1", boost::json::parse(R"({"inc":2})"), 91});
+        RefusalCase{"led_here", [](Leader&, Heartbeat&) {}, std::nullopt},
+        RefusalCase{"zone_without_partition", [](Leader&, Heartbeat& heartbeat) { heartbeat.zone = "z"; },
+                    OutsideDeployment{}},
+        RefusalCase{"another_leader",
+                    [](Leader& leader, Heartbeat&) {
+                      set_leadership(leader, R"({"owner":"perch-1","inc":2})");
+                      leader.state.cache.apply({"members/perch-1", boost::json::parse(R"({"inc":2})"), 91});
                     },
                     LedElsewhere{"perch-1"}},
-        RefusalCase{"leader_does_not_run", [](Leader& l, H&) { claim(l, R"({"owner":"perch-1","inc":2})"); },
-                    NoLeader{}},
-        RefusalCase{"led_by_an_earlier_process_of_ours",
-                    [](Leader& l, H&) { claim(l, R"({"owner":"perch-0","inc":6})"); }, NoLeader{}},
-        // A controller without peers cancels all there is to cancel itself.
-        RefusalCase{"no_read_for_long_and_no_peers", [](Leader& l, H&) { l.state.synchronized_at = ago(17); },
-                    std::nullopt},
-        RefusalCase{"cancellations_of_peers_too_old",
-                    [](Leader& l, H&) { l.state.synchronized_at = ago(17), l.state.settings.nodes = 2; },
+        RefusalCase{
+            "leader_is_not_a_member",
+            [](Leader& leader, Heartbeat&) { set_leadership(leader, R"({"owner":"perch-1","inc":2})"); },
+            NoLeader{}},
+        RefusalCase{
+            "led_by_an_earlier_process_of_this_label",
+            [](Leader& leader, Heartbeat&) { set_leadership(leader, R"({"owner":"perch-0","inc":6})"); },
+            NoLeader{}},
+        // A controller without peers handles all cancellations itself.
+        RefusalCase{"stale_state_without_peers",
+                    [](Leader& leader, Heartbeat&) { leader.state.synchronized_at = ago(17); }, std::nullopt},
+        RefusalCase{"cancellations_of_peers_unknown",
+                    [](Leader& leader, Heartbeat&) {
+                      leader.state.synchronized_at = ago(17), leader.state.settings.nodes = 2;
+                    },
                     CancellationsUnknown{}},
         RefusalCase{"cancellations_of_peers_known",
-                    [](Leader& l, H&) { l.state.synchronized_at = ago(16), l.state.settings.nodes = 2; },
+                    [](Leader& leader, Heartbeat&) {
+                      leader.state.synchronized_at = ago(16), leader.state.settings.nodes = 2;
+                    },
                     std::nullopt},
-        RefusalCase{"deleted_machine", [](Leader& l, H&) { l.state.fleet.deleted.insert(l.machine->id); },
+        RefusalCase{"deleted_machine",
+                    [](Leader& leader, Heartbeat&) {
+                      leader.state.fleet.deleted_machines.insert(leader.machine->id);
+                    },
                     MachineDeleted{}}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Heartbeats come every 3 s, so an agent that was sent to the leader is back within 17 s or has got there.
-TEST(Forwarding, RelaysForAgentsThatDoNotGetToTheLeader) {
+// With a heartbeat every 3 s, an agent that fails to reach the leader after a redirect returns within 17 s.
+TEST(Forwarding, RelaysForAgentsThatCannotReachTheLeader) {
   const struct {
     const char* name;
     double redirected_s_ago;
     std::uint64_t agent_token;
-    bool relayed;
+    bool relayed_without_redirect;
     Forwarding expected;
   } cases[] = {
       {"does not know the leader", 100, kToken - 1, false, Forwarding::redirect},
-      {"was redirected and is back", 16, kToken - 1, false, Forwarding::relay_after_redirect},
-      {"was redirected long ago", 18, kToken - 1, false, Forwarding::redirect},
-      {"obeys the leader and is here", 100, kToken, false, Forwarding::relay_unasked},
-      {"obeys the leader, relayed last time", 100, kToken, true, Forwarding::redirect},
-      {"obeys the leader, redirected a moment ago", 1, kToken, false, Forwarding::relay_after_redirect},
+      {"returned after a redirect", 16, kToken - 1, false, Forwarding::relay_after_redirect},
+      {"redirected long ago", 18, kToken - 1, false, Forwarding::redirect},
+      {"obeys the leader", 100, kToken, false, Forwarding::relay_without_redirect},
+      {"obeys the leader, last heartbeat relayed", 100, kToken, true, Forwarding::redirect},
+      {"obeys the leader, returned after a redirect", 1, kToken, false, Forwarding::relay_after_redirect},
   };
   for (const auto& c : cases) {
     Leader leader;
     leader.machine->redirected_at = ago(c.redirected_s_ago);
-    leader.machine->relayed = c.relayed;
+    leader.machine->relayed_without_redirect = c.relayed_without_redirect;
     auto heartbeat = leader.heartbeat();
     heartbeat.fencing_token = c.agent_token;
     EXPECT_EQ(decide_forwarding(*leader.machine, heartbeat, kToken, 3, kNow), c.expected) << c.name;
--- a/tests/gateway/routes_test.cpp
+++ b/tests/gateway/routes_test.cpp
@@ -10,10 +10,12 @@
   const char* target;
   std::variant<Route, RouteError> expected;
 };
-void PrintTo(const RouteCase& c, std::ostream* out) { *out << c.method << " " << c.target; }
+void PrintTo(const RouteCase& test_case, std::ostream* out) {
+  *out << test_case.method << " " << test_case.target;
+}
 
 class Routes : public testing::TestWithParam<RouteCase> {};
-TEST_P(Routes, ByMethodAndPath) {
+TEST_P(Routes, AreParsedByMethodAndPath) {
   EXPECT_EQ(parse_route(GetParam().method, GetParam().target), GetParam().expected);
 }
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/scheduling/cluster_load_test.cpp
+++ b/tests/scheduling/cluster_load_test.cpp
@@ -25,7 +25,7 @@
   p.state.fleet.machine_types.resize(1);
   p.state.fleet.machine_types[0].size = {64, 8, 64};
   p.state.fleet.machine_type_ids = {type};
-  auto& machine = p.state.fleet.intern(p.state.names, name);
+  auto& machine = p.state.fleet.find_or_add(p.state.names, name);
   machine.partition = partition;
   machine.type = type;
   machine.listed = true;
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -63,7 +63,7 @@
     p.state.fleet.machine_types.resize(1);
     p.state.fleet.machine_types[0].size = {64, gpus, 64};
     p.state.fleet.machine_type_ids = {type};
-    auto& machine = p.state.fleet.intern(p.state.names, "host-1");
+    auto& machine = p.state.fleet.find_or_add(p.state.names, "host-1");
     machine.partition = partition;
     machine.type = type;
     machine.listed = true;
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -93,13 +93,13 @@
 TEST_F(TwoZones, NodeShowsCordonReservationAndFetches) {
   cloud::MachineType type;
   type.size = {32, 4, 256};
-  auto& machine = state.fleet.intern(state.names, "host-1");
+  auto& machine = state.fleet.find_or_add(state.names, "host-1");
   const auto id = job(jobs::Shape::standing, false, false);
   place(id, ours, 0);
   machine.cordoned_until = kNow + core::secs(1);
   machine.reserved_for = core::JobId{9};
-  machine.reserved_ready = kNow + core::secs(7);
-  machine.reserved_until = kNow + core::secs(20);
+  machine.reservation_ready_at = kNow + core::secs(7);
+  machine.reservation_expires_at = kNow + core::secs(20);
   const auto before = node_of(state, machine, type, kNow);
   EXPECT_EQ(before.fetching, 1u);
   EXPECT_EQ(before.replicas, (std::vector<core::JobId>{id}));
@@ -123,7 +123,7 @@
   const auto& c = GetParam();
   SinglePartition deployment;
   auto& state = deployment.state;
-  state.loaded = c.loaded;
+  state.cache_loaded = c.loaded;
   if (c.machine_types_known) state.fleet.machine_types.emplace_back();
   if (!c.leads) state.incarnation = 8;
   state.fence_due[0] = c.fence_due;
--- a/tests/scheduling/usage_recorder_test.cpp
+++ b/tests/scheduling/usage_recorder_test.cpp
@@ -17,7 +17,7 @@
   SinglePartition p(settings);
   p.state.usage[0].add(core::TeamId{0}, 100.4, 5);
   p.state.usage[0].add(core::TeamId{0}, 7.6, 65);
-  p.state.usage_from[0] = p.state.fencing_token(kPartition);
+  p.state.usage_fencing_tokens[0] = p.state.fencing_token(kPartition);
   return p;
 }
 
@@ -39,7 +39,7 @@
 
 TEST(UsageRecords, OnlyUnderTheTokenThatUsageWasTakenOverUnder) {
   auto p = with_usage(single_partition_settings());
-  p.state.usage_from[0] = 39;
+  p.state.usage_fencing_tokens[0] = 39;
   EXPECT_TRUE(plan_usage_records(p.state).empty());
 }
 
--- a/tests/state/membership_test.cpp
+++ b/tests/state/membership_test.cpp
@@ -27,7 +27,7 @@
   controller::ControllerState state(settings, {});
   state.incarnation = kIncarnation;
   state.joined_revision = kJoinedRevision;
-  state.loaded = c.loaded;
+  state.cache_loaded = c.loaded;
   if (c.member_record)
     state.cache.apply({"members/perch-1", boost::json::parse(c.member_record), kJoinedRevision});
   state.cache.synchronized(c.read_to);
