--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -1,10 +1,10 @@
-#include "autoscaling/scale_out_plan.hpp"
-
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <optional>
 
+#include "autoscaling/scale_out_plan.hpp"
+
 namespace finchrun::autoscaling {
 namespace {
 
@@ -55,9 +55,10 @@
       : state_(state), backoff_(backoff), now_(now) {
     collect_quotas();
     collect_room();
-    spot_work_exists_ = std::any_of(
-        state.job_classes.begin(), state.job_classes.end(),
-        [](const sched::JobClassProfile& job_class) { return job_class.spot && job_class.active_tasks >= 1; });
+    spot_work_exists_ = std::any_of(state.job_class_profiles.begin(), state.job_class_profiles.end(),
+                                    [](const sched::JobClassProfile& job_class) {
+                                      return job_class.spot && job_class.active_tasks >= 1;
+                                    });
   }
 
   void add(const scheduling::BacklogItem& item) {
@@ -95,14 +96,14 @@
 
   /// Room on machines that were rented and are starting, and on spot instances that are up or starting.
   void collect_room() {
-    for (const auto& [id, machine] : state_.fleet.all()) {
+    for (const auto& [id, machine] : state_.fleet.machines()) {
       if (!machine.partition.valid() || !state_.leads(machine.partition)) continue;
-      if (machine.terminating || machine.quarantined || machine.gone) continue;
+      if (machine.terminating || machine.quarantined || machine.deleted) continue;
       const auto* type = state_.fleet.machine_type(machine.type);
       if (!type) continue;
       Room room{machine.partition, machine.type, machine.spot, type->size};
       if (machine.has_heartbeat) {
-        room.free -= state_.used_on(id);
+        room.free -= state_.allocated_on(id);
       } else {
         if (is_boot_overdue(machine, *type, now_)) continue;
         arriving_.push_back(room);
@@ -140,7 +141,8 @@
   [[nodiscard]] bool on_demand_available(const sched::Demand& demand, const std::string& zone) const {
     for (std::size_t i = 0; i < state_.fleet.machine_types.size(); ++i) {
       const auto& type = state_.fleet.machine_types[i];
-      if (!jobs::type_allowed(demand.allowed_types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
+      if (!jobs::type_allowed(demand.allowed_types, state_.fleet.machine_type_ids[i]) ||
+          !offered_in(type, zone))
         continue;
       if (!demand.need.fits(type.size)) continue;
       if (!backoff_.backing_off({type.name, zone, false}, now_)) return true;
@@ -163,7 +165,8 @@
     std::optional<Offer> best;
     for (std::size_t i = 0; i < state_.fleet.machine_types.size(); ++i) {
       const auto& type = state_.fleet.machine_types[i];
-      if (!jobs::type_allowed(demand.allowed_types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
+      if (!jobs::type_allowed(demand.allowed_types, state_.fleet.machine_type_ids[i]) ||
+          !offered_in(type, zone))
         continue;
       const int tasks_per_machine = demand.need.times_in(type.size);
       if (tasks_per_machine < 1) continue;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,10 +1,10 @@
-#include "scheduling/preemption.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <map>
 
+#include "scheduling/preemption.hpp"
+
 namespace finchrun::scheduling {
 
 namespace {
@@ -41,8 +41,8 @@
   auto* machine = state.fleet.find(id);
   if (!machine) return;
   machine->reserved_for = job;
-  machine->reserved_ready = now + core::secs(ready_in_s);
-  machine->reserved_until = now + core::secs(duration_s);
+  machine->reservation_ready_at = now + core::secs(ready_in_s);
+  machine->reservation_expires_at = now + core::secs(duration_s);
 }
 
 // Returns the run time since a heartbeat first reported the task, or 0 if none has.
@@ -60,7 +60,7 @@
   const auto* job = state.cache.job(id);
   if (!job || job->status != jobs::Status::live) return std::nullopt;
   const agent::TaskAttempt attempt{id, assignment.task, assignment.attempt};
-  if (state.fleet.preempting.contains(attempt) || state.fleet.ended(id, partition, assignment))
+  if (state.fleet.preempting.contains(attempt) || state.fleet.has_ended(id, partition, assignment))
     return std::nullopt;
   const double ran = ran_s(state, attempt, now);
   sched::RunningTask task;
@@ -162,7 +162,7 @@
 
 void evict_from_reclaimed_machines(ControllerState& state) {
   std::set<core::JobId> gangs;
-  for (const auto& [id, machine] : state.fleet.all()) {
+  for (const auto& [id, machine] : state.fleet.machines()) {
     if (!machine.termination_notice_s || !machine.partition.valid() || !state.leads(machine.partition))
       continue;
     evict_from(state, id, *machine.termination_notice_s, gangs);
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -1,10 +1,9 @@
-#include "scheduling/rebalancer.hpp"
-
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
+#include "scheduling/rebalancer.hpp"
 
 namespace finchrun::scheduling {
 namespace {
@@ -74,7 +73,7 @@
     deployment.state.fleet.machine_types.resize(1);
     deployment.state.fleet.machine_types[0].size = {64, gpus, 64};
     deployment.state.fleet.machine_type_ids = {type};
-    auto& machine = deployment.state.fleet.intern(deployment.state.names, "host-1");
+    auto& machine = deployment.state.fleet.find_or_add(deployment.state.names, "host-1");
     machine.partition = partition;
     machine.type = type;
     machine.listed = true;
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -1,8 +1,7 @@
-#include "scheduling/round_view.hpp"
-
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
+#include "scheduling/round_view.hpp"
 
 namespace finchrun::scheduling {
 namespace {
@@ -93,13 +92,13 @@
 TEST_F(TwoZones, NodeShowsCordonReservationAndFetches) {
   cloud::MachineType type;
   type.size = {32, 4, 256};
-  auto& machine = state.fleet.intern(state.names, "host-1");
+  auto& machine = state.fleet.find_or_add(state.names, "host-1");
   const auto id = job(jobs::Shape::standing, false, false);
   place(id, own, 0);
   machine.cordoned_until = kNow + core::secs(1);
   machine.reserved_for = core::JobId{9};
-  machine.reserved_ready = kNow + core::secs(7);
-  machine.reserved_until = kNow + core::secs(20);
+  machine.reservation_ready_at = kNow + core::secs(7);
+  machine.reservation_expires_at = kNow + core::secs(20);
   const auto before = make_node(state, machine, type, kNow);
   EXPECT_EQ(before.fetches_in_progress, 1u);
   EXPECT_EQ(before.replicas, (std::vector<core::JobId>{id}));
@@ -123,7 +122,7 @@
   const auto& c = GetParam();
   SinglePartition deployment;
   auto& state = deployment.state;
-  state.loaded = c.loaded;
+  state.cache_loaded = c.loaded;
   if (c.machine_types_known) state.fleet.machine_types.emplace_back();
   if (!c.leads) state.incarnation = 8;
   state.fence_due[0] = c.fence_due;
--- a/tests/scheduling/usage_recorder_test.cpp
+++ b/tests/scheduling/usage_recorder_test.cpp
@@ -1,8 +1,7 @@
-#include "scheduling/usage_recorder.hpp"
-
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
+#include "scheduling/usage_recorder.hpp"
 
 namespace finchrun::scheduling {
 namespace {
@@ -17,7 +16,7 @@
   SinglePartition deployment(settings);
   deployment.state.usage[0].add(core::TeamId{0}, 100.4, 5);
   deployment.state.usage[0].add(core::TeamId{0}, 7.6, 65);
-  deployment.state.usage_from[0] = deployment.state.fencing_token(kPartition);
+  deployment.state.usage_fencing_tokens[0] = deployment.state.fencing_token(kPartition);
   return deployment;
 }
 
@@ -39,7 +38,7 @@
 
 TEST(UsageRecords, NotWrittenUnderAnotherFencingToken) {
   auto deployment = with_usage(single_partition_settings());
-  deployment.state.usage_from[0] = 39;
+  deployment.state.usage_fencing_tokens[0] = 39;
   EXPECT_TRUE(plan_usage_records(deployment.state).empty());
 }
 
