--- a/src/agent/fleet.hpp
+++ b/src/agent/fleet.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "agent/machine.hpp"
-#include "cloud/cloud.hpp"
+#include "cloud/cloud_client.hpp"
 #include "core/clock.hpp"
 #include "core/ids.hpp"
 #include "jobs/job.hpp"
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -39,7 +39,7 @@
   controller::Wakeup writer_wakeup_;
   coordination::PeerTable peers_;
   state::KeyValueStore store_;
-  cloud::Cloud cloud_;
+  cloud::CloudClient cloud_;
   controller::SharedState state_;
   coordination::StateFollower follower_;
   coordination::Membership membership_;
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -12,15 +12,15 @@
 
 using controller::ControllerState;
 
-constexpr double kMachineTypesEveryS = 120;
-constexpr double kMachineTypesRetryS = 0.5;  // while none are known: nothing can be rented
-constexpr double kMachinesEveryS = 2;        // or less often, as the cloud's limit of requests demands
-constexpr double kScaleOutEveryS = 1;
-constexpr double kTickS = 0.25;
+constexpr double kMachineTypesIntervalS = 120;
+constexpr double kMachineTypesRetryS = 0.5;  // while no types are known, and nothing can be rented
+constexpr double kMachineListIntervalS = 2;  // minimum; the cloud's rate limit may require a longer one
+constexpr double kScaleOutIntervalS = 1;
+constexpr double kLoopIntervalS = 0.25;
 constexpr double kNoCapacityBackoffS = 15;
 constexpr double kFailedRequestBackoffS = 4;
 
-void apply_listed(ControllerState& state, const cloud::ListedMachine& listed, core::TimePoint now) {
+void update_listed_machine(ControllerState& state, const cloud::ListedMachine& listed, core::TimePoint now) {
   if (state.fleet.was_deleted(state.names, listed.name)) return;  // the list lags
   auto& machine = state.fleet.see(state.names, listed.name, now);
   machine.listed = machine.ever_listed = true;
@@ -30,31 +30,32 @@
   machine.spot = listed.spot;
   if (!listed.endpoint.empty()) machine.endpoint = listed.endpoint;
   if (listed.status == "starting" && machine.status != "starting")
-    machine.starting_since = now - core::secs(listed.held_s);
+    machine.starting_since = now - core::secs(listed.rented_for_s);
   machine.status = listed.status;
 }
 
-/// Machines that are no longer listed, that no record names and that have been silent for long.
-void drop_forgotten_machines(ControllerState& state, core::TimePoint now) {
-  const double kept_s = 4 * state.settings.cloud_list_lag_s + 60;
+/// Removes machines that are not listed, have no recorded assignments and have been silent for long.
+void remove_stale_machines(ControllerState& state, core::TimePoint now) {
+  const double retention_s = 4 * state.settings.cloud_list_lag_s + 60;
   std::erase_if(state.fleet.all(), [&](const auto& item) {
     const auto& [id, machine] = item;
     return !machine.listed && state.cache.on_machine(id).empty() &&
-           core::since(machine.first_seen, now) > kept_s && core::since(machine.last_heartbeat, now) > kept_s;
+           core::since(machine.first_seen, now) > retention_s &&
+           core::since(machine.last_heartbeat, now) > retention_s;
   });
 }
 
-/// Brings the fleet in line with the machines that records of our partitions name.
+/// Aligns the fleet with the machines that the records of this controller's partitions name.
 void reconcile_recorded_machines(ControllerState& state, core::TimePoint now) {
   state.cache.each_named_machine(
       [&](core::MachineId id, const std::vector<state::MachineAssignment>& assignments) {
         const auto partition = assignments.front().partition;
         if (!state.leads(partition)) return;
-        // A placement that was on its way when the machine was returned: what it booked is gone too.
+        // The placement was in flight when the machine was released, so its tasks are gone too.
         if (state.fleet.deleted.contains(id)) return agent::machine_gone(state.cache, state.fleet, id);
         if (state.fleet.find(id)) return;
-        // Taken while no leader was there to see it: never listed, never heartbeating, yet recorded. Its
-        // deletion has to be asked for too, or its tasks stay booked for good.
+        // The machine disappeared while the partition had no leader: it is recorded, but not listed and
+        // without heartbeats. Its deletion must be requested, or its tasks stay assigned forever.
         auto& machine = state.fleet.intern(state.names, state.names.machines.name(id));
         machine.partition = partition;
         machine.zone = state.partitions.zone(partition);
@@ -62,8 +63,8 @@
       });
 }
 
-/// The cloud has answered that the machine is deleted, which proves that nothing runs on it any more (docs/
-/// design.md "When a task is gone").
+/// Called once the cloud has confirmed the deletion, which proves that nothing runs on the machine any more
+/// (docs/design.md "When a task is gone").
 void finish_scale_in(ControllerState& state, const ScaleInDecision& decision) {
   auto* machine = state.fleet.find(decision.machine);
   if (!machine) return;
@@ -84,18 +85,18 @@
       co_await refresh_machine_types();
       const bool known =
           state_.with([](ControllerState& state) { return !state.fleet.machine_types.empty(); });
-      next_machine_types = now + runtime_.jitter(known ? kMachineTypesEveryS : kMachineTypesRetryS);
+      next_machine_types = now + runtime_.jitter(known ? kMachineTypesIntervalS : kMachineTypesRetryS);
     }
     if (now >= next_list) {
-      next_list = now + runtime_.jitter(std::max(kMachinesEveryS, cloud_.list_every_s()));
+      next_list = now + runtime_.jitter(std::max(kMachineListIntervalS, cloud_.list_interval_s()));
       co_await refresh_machines();
       co_await scale_in();
     }
     if (now >= next_scale_out) {
-      next_scale_out = now + runtime_.jitter(kScaleOutEveryS);
+      next_scale_out = now + runtime_.jitter(kScaleOutIntervalS);
       co_await scale_out();
     }
-    co_await runtime_.sleep(kTickS);
+    co_await runtime_.sleep(kLoopIntervalS);
   }
 }
 
@@ -118,8 +119,8 @@
   const auto now = core::Steady::now();
   state_.with([&](ControllerState& state) {
     for (auto& [_, machine] : state.fleet.all()) machine.listed = false;
-    for (const auto& listed : *list) apply_listed(state, listed, now);
-    drop_forgotten_machines(state, now);
+    for (const auto& listed : *list) update_listed_machine(state, listed, now);
+    remove_stale_machines(state, now);
   });
 }
 
@@ -129,7 +130,7 @@
     if (!is_current(state, now)) return std::vector<ScaleInDecision>{};
     reconcile_recorded_machines(state, now);
     auto planned = plan_scale_in(state, now);
-    // Nothing is placed on them from here on.
+    // Stops placements on these machines.
     for (const auto& decision : planned) state.fleet.find(decision.machine)->terminating = true;
     return planned;
   });
@@ -143,7 +144,7 @@
       if (gone)
         finish_scale_in(state, decision);
       else if (auto* machine = state.fleet.find(decision.machine))
-        machine->terminating = false;  // tried again with the next list
+        machine->terminating = false;  // retried after the next list
     }
   });
 }
@@ -173,18 +174,19 @@
   spdlog::info("scale out type={} zone={} spot={} requested={} rented={} request_id={}", kind.type, kind.zone,
                kind.spot, rental->count, count, rental->request_id);
   if (rented) {
-    take_over_rented(kind, rented->machines);
+    add_rented_machines(kind, rented->machines);
     if (count < static_cast<std::size_t>(rental->count))
       backoff_.back_off(kind, now + runtime_.jitter(kNoCapacityBackoffS));
   } else if (std::get<cloud::Error>(answer) == cloud::Error::no_capacity) {
     backoff_.back_off(kind, now + runtime_.jitter(kNoCapacityBackoffS));
   } else {
-    // Rented perhaps: such machines show up in the list and are used. Not asked again at once.
+    // The machines may have been rented all the same; they would appear in the list. An immediate retry could
+    // rent twice as many.
     backoff_.back_off(kind, now + runtime_.jitter(kFailedRequestBackoffS));
   }
 }
 
-void Autoscaler::take_over_rented(const MachineKind& kind, const std::vector<std::string>& machines) {
+void Autoscaler::add_rented_machines(const MachineKind& kind, const std::vector<std::string>& machines) {
   state_.with([&](ControllerState& state) {
     for (const auto& name : machines) {
       auto& machine = state.fleet.intern(state.names, name);
--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -1,4 +1,4 @@
-// The cloud: machine types, the lagging machine list, scale out for the backlog, scale in.
+// Reads machine types and the machine list from the cloud; scales out for the backlog, and scales in.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 #include "autoscaling/capacity_backoff.hpp"
 #include "autoscaling/scale_in_plan.hpp"
-#include "cloud/cloud.hpp"
+#include "cloud/cloud_client.hpp"
 #include "controller/controller_state.hpp"
 #include "controller/runtime.hpp"
 #include "scheduling/backlog.hpp"
@@ -17,11 +17,11 @@
 
 namespace asio = boost::asio;
 
-/// Rents machines for the backlog, and returns those that are idle, broken or silent. What to rent and to
-/// return is decided in scale_out_plan and scale_in_plan; this carries it out.
+/// Rents machines for the backlog, and releases machines that are idle, broken or silent. Carries out the
+/// decisions of scale_out_plan and scale_in_plan.
 class Autoscaler {
  public:
-  Autoscaler(controller::Runtime& runtime, controller::SharedState& state, cloud::Cloud& cloud,
+  Autoscaler(controller::Runtime& runtime, controller::SharedState& state, cloud::CloudClient& cloud,
              const scheduling::Backlog& backlog)
       : runtime_(runtime), state_(state), cloud_(cloud), backlog_(backlog) {}
 
@@ -29,11 +29,11 @@
   asio::awaitable<void> run();
 
  private:
-  /// One request to the cloud.
+  /// One scale-out request to the cloud.
   struct Rental {
     MachineKind kind;
     int count = 0;
-    /// Made once by this process, so that the cloud takes a repeated request for the same one.
+    /// Unique, so that the cloud executes the request at most once.
     std::string request_id;
   };
 
@@ -42,11 +42,11 @@
   asio::awaitable<void> scale_in();
   asio::awaitable<void> scale_out();
   std::optional<Rental> next_rental(core::TimePoint now);
-  void take_over_rented(const MachineKind& kind, const std::vector<std::string>& machines);
+  void add_rented_machines(const MachineKind& kind, const std::vector<std::string>& machines);
 
   controller::Runtime& runtime_;
   controller::SharedState& state_;
-  cloud::Cloud& cloud_;
+  cloud::CloudClient& cloud_;
   const scheduling::Backlog& backlog_;
   CapacityBackoff backoff_;
   std::uint64_t scale_out_count_ = 0;
--- a/src/autoscaling/capacity_backoff.hpp
+++ b/src/autoscaling/capacity_backoff.hpp
@@ -1,4 +1,4 @@
-// What the cloud rents out, and what of it was refused a moment ago.
+// Kinds of machines that the cloud rents out, and the backoff for those that it refused lately.
 #pragma once
 
 #include <compare>
@@ -9,19 +9,19 @@
 
 namespace finchrun::autoscaling {
 
-/// What a request to the cloud names: a machine type in a zone, as a spot instance or on demand.
+/// A machine type in a zone, as a spot instance or on demand: the unit of requests to the cloud.
 struct MachineKind {
   std::string type, zone;
   bool spot = false;
   auto operator<=>(const MachineKind&) const = default;
 };
 
-/// Kinds that are not asked for again for a while, since the cloud had no capacity or gave no answer.
+/// Kinds that are not requested for a while, since the cloud had no capacity or the request failed.
 class CapacityBackoff {
  public:
   void back_off(const MachineKind& kind, core::TimePoint until) { until_[kind] = until; }
-  /// False again from the end of the back-off on.
-  [[nodiscard]] bool backing_off(const MachineKind& kind, core::TimePoint now) const {
+  /// False from the end of the backoff on.
+  [[nodiscard]] bool is_backed_off(const MachineKind& kind, core::TimePoint now) const {
     const auto it = until_.find(kind);
     return it != until_.end() && it->second > now;
   }
--- a/src/autoscaling/scale_in_plan.cpp
+++ b/src/autoscaling/scale_in_plan.cpp
@@ -9,14 +9,14 @@
 using agent::Machine;
 using controller::ControllerState;
 
-/// Longer than this without a heartbeat, and a machine may be gone. Heartbeats come every `report_s`.
-double may_be_gone_s(const config::Settings& settings) { return 3 * settings.report_s + 2; }
+/// A machine without a heartbeat for longer than this may be gone. Heartbeats come every `report_s`.
+double silence_threshold_s(const config::Settings& settings) { return 3 * settings.report_s + 2; }
 
-/// Of the running machines of each partition: from how many heartbeats come.
+/// Counts of a partition's running machines with and without recent heartbeats.
 struct PartitionHealth {
   int heartbeating = 0;
   int silent = 0;
-  [[nodiscard]] bool mostly_silent() const { return silent > heartbeating; }
+  [[nodiscard]] bool is_mostly_silent() const { return silent > heartbeating; }
 };
 
 std::vector<PartitionHealth> partition_health(const ControllerState& state, core::TimePoint now) {
@@ -25,32 +25,32 @@
     if (!machine.partition.valid() || machine.gone || !machine.listed || machine.status != "running")
       continue;
     auto& health = partitions[machine.partition.index];
-    const bool silent = state.silent_s(machine, now) > may_be_gone_s(state.settings);
+    const bool silent = state.silent_s(machine, now) > silence_threshold_s(state.settings);
     ++(silent ? health.silent : health.heartbeating);
   }
   return partitions;
 }
 
-/// How much longer than a lease a silent machine is waited for. Most machines of a partition don't fall
-/// silent by themselves: its zone may be cut off, and is given time to come back. A silent machine with a
-/// cancelled task may hang and still hold the task, whose time is up soon after the lease (rule
-/// `ran_cancelled`); nothing else on it is worth that wait.
-double wait_beyond_lease_s(const ControllerState& state, const std::vector<state::MachineAssignment>& placed,
-                           const PartitionHealth& health) {
-  constexpr double kWithCancelledTaskS = 3;
-  constexpr double kZoneCutOffS = 90;
-  constexpr double kUsualS = 15;
+/// The time that a silent machine is kept beyond its lease. If most machines of a partition are silent, the
+/// cause is probably a network partition of its zone, which gets time to recover. A machine with a cancelled
+/// task is released soon: it may hang with the task still running, which the rule `ran_cancelled` allows only
+/// shortly beyond the lease, and its other tasks are not worth a longer wait.
+double silence_grace_s(const ControllerState& state, const std::vector<state::MachineAssignment>& assignments,
+                       const PartitionHealth& health) {
+  constexpr double kCancelledTaskGraceS = 3;
+  constexpr double kZoneOutageGraceS = 90;
+  constexpr double kDefaultGraceS = 15;
   const bool has_cancelled_task =
-      std::any_of(placed.begin(), placed.end(), [&](const state::MachineAssignment& assignment) {
+      std::any_of(assignments.begin(), assignments.end(), [&](const state::MachineAssignment& assignment) {
         return state.cache.cancelled_with_tasks().contains(assignment.job);
       });
-  if (has_cancelled_task) return kWithCancelledTaskS;
-  return health.mostly_silent() ? kZoneCutOffS : kUsualS;
+  if (has_cancelled_task) return kCancelledTaskGraceS;
+  return health.is_mostly_silent() ? kZoneOutageGraceS : kDefaultGraceS;
 }
 
-/// The cloud's list lags: a machine that was never in it is given time to appear.
+/// A machine that was never listed gets time to appear, since the cloud's list lags.
 bool is_unlisted(const ControllerState& state, const Machine& machine, double silent_s) {
-  if (machine.listed || silent_s <= may_be_gone_s(state.settings)) return false;
+  if (machine.listed || silent_s <= silence_threshold_s(state.settings)) return false;
   return machine.ever_listed || silent_s > 3 * state.settings.cloud_list_lag_s + 5;
 }
 
@@ -60,8 +60,8 @@
          core::since(machine.starting_since, now) > 5 * type->boot_s + 30;
 }
 
-/// Its heartbeats come and nothing of ours arrives: its lease has run out, and again, with us answering. A
-/// machine whose heartbeats don't come either may be cut off, and is waited for as a silent one.
+/// Heartbeats of the machine arrive, but answers to it do not: its lease has expired repeatedly although this
+/// controller answers. A machine without heartbeats may be cut off, and gets the grace of a silent one.
 bool is_unreachable(const ControllerState& state, const Machine& machine, double silent_s,
                     core::TimePoint now) {
   const double lease_s = state.settings.lease_s;
@@ -69,15 +69,15 @@
          core::since(*machine.unreachable_since, now) > 2 * lease_s + 15;
 }
 
-std::optional<ScaleInReason> reason_to_return(const ControllerState& state, const Machine& machine,
-                                              const PartitionHealth& health, core::TimePoint now) {
-  const auto& placed = state.cache.on_machine(machine.id);
-  const bool in_use = !placed.empty();
+std::optional<ScaleInReason> scale_in_reason(const ControllerState& state, const Machine& machine,
+                                             const PartitionHealth& health, core::TimePoint now) {
+  const auto& assignments = state.cache.on_machine(machine.id);
+  const bool in_use = !assignments.empty();
   const double silent_s = state.silent_s(machine, now);
   if (machine.listed && machine.status == "failed") return ScaleInReason::failed;
   if (in_use && is_unlisted(state, machine, silent_s)) return ScaleInReason::unlisted;
   if (machine.listed && machine.status == "running" &&
-      silent_s > state.settings.lease_s + wait_beyond_lease_s(state, placed, health))
+      silent_s > state.settings.lease_s + silence_grace_s(state, assignments, health))
     return ScaleInReason::silent;
   if (never_came_up(state, machine, now)) return ScaleInReason::never_came_up;
   if (machine.quarantined && !in_use) return ScaleInReason::quarantined;
@@ -110,8 +110,8 @@
 }
 
 bool is_current(const ControllerState& state, core::TimePoint now) {
-  constexpr double kOldestReadS = 1.5;
-  return core::since(state.synchronized_at, now) <= kOldestReadS;
+  constexpr double kMaxStateAgeS = 1.5;
+  return core::since(state.synchronized_at, now) <= kMaxStateAgeS;
 }
 
 std::vector<ScaleInDecision> plan_scale_in(const ControllerState& state, core::TimePoint now) {
@@ -119,10 +119,10 @@
   const auto health = partition_health(state, now);
   std::vector<ScaleInDecision> decisions;
   for (const auto& [id, machine] : state.fleet.all()) {
-    if (decisions.size() >= kMostReturnedAtOnce) break;
+    if (decisions.size() >= kMaxReleasesPerPlan) break;
     if (!machine.partition.valid() || !state.leads(machine.partition)) continue;
     if (machine.gone || machine.terminating) continue;
-    if (const auto reason = reason_to_return(state, machine, health[machine.partition.index], now))
+    if (const auto reason = scale_in_reason(state, machine, health[machine.partition.index], now))
       decisions.push_back({id, machine.name, *reason});
   }
   return decisions;
--- a/src/autoscaling/scale_in_plan.hpp
+++ b/src/autoscaling/scale_in_plan.hpp
@@ -1,4 +1,4 @@
-// Which machines to return to the cloud: decided from a snapshot, carried out by the Autoscaler.
+// Plans which machines to release, from a snapshot. The Autoscaler carries the plan out.
 #pragma once
 
 #include <string>
@@ -8,18 +8,18 @@
 
 namespace finchrun::autoscaling {
 
-/// Why a machine is returned. The first that applies, in this order.
+/// The reason why a machine is released: the first that applies, in this order.
 enum class ScaleInReason {
   failed,         ///< the cloud lists it as failed
-  unlisted,       ///< in use and silent, and the cloud lists it no more: the deletion's answer makes its end
-                  ///< certain
-  silent,         ///< listed as running, and its heartbeats have stopped for longer than its lease and a wait
+  unlisted,       ///< in use and silent, but no longer listed: only the answer to the deletion proves that it
+                  ///< is gone
+  silent,         ///< listed as running, without heartbeats for longer than its lease and a grace period
   never_came_up,  ///< listed as starting for much longer than a boot takes
-  quarantined,    ///< tasks of several jobs failed on it, and nothing runs there any more
-  unreachable,    ///< its heartbeats come, but its leases run out: nothing that we answer arrives there
-  idle,           ///< nothing has run on it for `idle_return_s`
+  quarantined,    ///< tasks of several jobs failed on it, and no task runs on it any more
+  unreachable,    ///< its heartbeats arrive, but its leases expire: the controller's answers do not reach it
+  idle,           ///< no task has run on it for `idle_return_s`
 };
-/// As logs show it.
+/// The name in logs.
 const char* name_of(ScaleInReason reason);
 
 struct ScaleInDecision {
@@ -28,14 +28,14 @@
   ScaleInReason reason = ScaleInReason::idle;
 };
 
-/// Machines of the partitions that this controller leads that should be returned now, at most
-/// `kMostReturnedAtOnce`. Nothing while the state is not current: a controller that was cut off sees only
-/// silent machines, and may take another leader's partition for its own.
+/// Returns the machines to release now, in partitions that this controller leads, at most
+/// `kMaxReleasesPerPlan`. Empty while the state is not current: a controller that was cut off from the
+/// network would see only silent machines, and might still believe that it leads a partition.
 std::vector<ScaleInDecision> plan_scale_in(const controller::ControllerState& state, core::TimePoint now);
 
-/// The newest read of the store's changes is recent enough to return machines by.
+/// The last read of the store is recent enough to decide on releases.
 bool is_current(const controller::ControllerState& state, core::TimePoint now);
 
-inline constexpr std::size_t kMostReturnedAtOnce = 50;
+inline constexpr std::size_t kMaxReleasesPerPlan = 50;
 
 }  // namespace finchrun::autoscaling
--- a/src/autoscaling/scale_out_plan.hpp
+++ b/src/autoscaling/scale_out_plan.hpp
@@ -1,4 +1,4 @@
-// Which machines to rent for the backlog: decided from a snapshot, carried out by the Autoscaler.
+// Plans which machines to rent for the backlog, from a snapshot. The Autoscaler carries the plan out.
 #pragma once
 
 #include <vector>
@@ -9,21 +9,21 @@
 
 namespace finchrun::autoscaling {
 
-/// How much of one kind of machine the backlog needs.
+/// The number of machines of one kind that the backlog needs.
 struct ScaleOutRequest {
   MachineKind kind;
-  double machines = 0;  // fractions: tasks that wait over tasks that a machine takes
+  double machines = 0;  // fractional: waiting tasks divided by tasks per machine
 };
 
-/// For each job of the backlog that stays after the room on its way is filled: the kind that costs least per
-/// task, among those that the job may use, that its zone has and that are not backed off. Added up by kind,
-/// the most needed first. Nothing beyond a team's limit (rule `quota`): such tasks could not start.
+/// For the tasks of the backlog that starting machines can't take: the kind with the lowest price per task
+/// that the job may use, that its zone offers and that is not backed off. Summed by kind, the most needed
+/// first. Excludes tasks beyond a team's limit (rule `quota`), which could not start.
 std::vector<ScaleOutRequest> plan_scale_out(const controller::ControllerState& state,
                                             const scheduling::Backlog& backlog,
                                             const CapacityBackoff& backoff, core::TimePoint now);
 
-/// How many machines one request to the cloud asks for. Work that ends in the meantime frees room too, so a
-/// large need is met by halves; `batch` is the operators' `scale_out_batch`.
+/// The number of machines in one request to the cloud. Tasks that end meanwhile free capacity too, so a
+/// request covers only half of a large need. `batch` is the operators' `scale_out_batch`.
 int machines_in_one_request(double machines, int batch);
 
 }  // namespace finchrun::autoscaling
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,4 +1,4 @@
-#include "cloud/cloud.hpp"
+#include "cloud/cloud_client.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -14,18 +14,20 @@
 namespace json = boost::json;
 using namespace std::chrono_literals;
 
-constexpr auto kAnswerWithin = 5000ms;
-constexpr int kMostPages = 200;
+constexpr auto kRequestTimeout = 5000ms;
+constexpr int kMaxPages = 200;
 
 struct MachinePage {
   std::vector<ListedMachine> machines;
   bool more = false;
 };
 
-std::string text(const json::object& object, const char* key) {
+std::string string_field(const json::object& object, const char* key) {
   return std::string(object.at(key).as_string());
 }
-double real(const json::object& object, const char* key) { return object.at(key).to_number<double>(); }
+double number_field(const json::object& object, const char* key) {
+  return object.at(key).to_number<double>();
+}
 
 std::optional<Error> error_of(const http::Answer& answer) {
   switch (answer.status) {
@@ -43,7 +45,8 @@
   }
 }
 
-/// What `read` makes of the answer's object; `read` throws if it is not what the protocol says.
+/// Returns the result of `read` for the answer's JSON object, or the error. `read` throws on a malformed
+/// object.
 template <class Read>
 auto parse(const http::Answer& answer, const char* request, Read&& read)
     -> Result<decltype(read(std::declval<const json::object&>()))> {
@@ -62,13 +65,13 @@
 
 MachineType read_machine_type(const json::object& object) {
   MachineType type;
-  type.name = text(object, "name");
-  type.size = {real(object, "vcpus"), real(object, "gpus"), real(object, "ramGb")};
-  type.cache_gb = real(object, "cacheGb");
-  type.fetch_gb_per_s = real(object, "pullGbPerS");
-  type.price = real(object, "rate");
-  type.spot_price = real(object, "spotPrice");
-  type.boot_s = real(object, "readyS");
+  type.name = string_field(object, "name");
+  type.size = {number_field(object, "vcpus"), number_field(object, "gpus"), number_field(object, "ramGb")};
+  type.cache_gb = number_field(object, "cacheGb");
+  type.fetch_gb_per_s = number_field(object, "pullGbPerS");
+  type.price = number_field(object, "rate");
+  type.spot_price = number_field(object, "spotPrice");
+  type.boot_s = number_field(object, "readyS");
   for (const auto& zone : object.at("halls").as_array()) type.zones.emplace_back(zone.as_string());
   return type;
 }
@@ -82,14 +85,14 @@
 
 ListedMachine read_machine(const json::object& object) {
   ListedMachine machine;
-  machine.name = text(object, "nameId");
+  machine.name = string_field(object, "nameId");
   if (const auto* endpoint = object.if_contains("endpoint"); endpoint && endpoint->is_string())
-    machine.endpoint = text(object, "endpoint");
-  machine.type = text(object, "rack");
-  machine.zone = text(object, "hall");
+    machine.endpoint = string_field(object, "endpoint");
+  machine.type = string_field(object, "rack");
+  machine.zone = string_field(object, "hall");
   machine.spot = object.at("loaners").as_bool();
-  machine.status = text(object, "status");
-  machine.held_s = real(object, "heldS");
+  machine.status = string_field(object, "status");
+  machine.rented_for_s = number_field(object, "heldS");
   return machine;
 }
 
@@ -107,7 +110,7 @@
   return rented;
 }
 
-// Kept out of the coroutines: GCC 12 can't hold initializer lists in a coroutine's frame.
+// Separate from the coroutines, since GCC 12 can't keep initializer lists in a coroutine frame.
 std::string scale_out_body(const std::string& request_id, const std::string& type, const std::string& zone,
                            bool spot, int count) {
   return json::serialize(json::object{
@@ -138,38 +141,39 @@
   return "unknown";
 }
 
-Cloud::Cloud(http::Network& network, const config::Settings& s)
-    : client_(network.connect(s.cloud, 2)),
-      rate_(s.cloud_rps / s.nodes),
-      rate_limiter_(rate_, std::max(2.0, 2 * rate_), core::Steady::now()) {}
+CloudClient::CloudClient(http::Network& network, const config::Settings& settings)
+    : client_(network.connect(settings.cloud, 2)),
+      requests_per_s_(settings.cloud_rps / settings.nodes),
+      rate_limiter_(requests_per_s_, std::max(2.0, 2 * requests_per_s_), core::Steady::now()) {}
 
-asio::awaitable<http::Answer> Cloud::call(http::Verb verb, std::string target, std::string body) {
+asio::awaitable<http::Answer> CloudClient::call(http::Verb verb, std::string target, std::string body) {
   if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::Answer{429, {}};
-  co_return co_await client_->call(verb, std::move(target), std::move(body), kAnswerWithin);
+  co_return co_await client_->call(verb, std::move(target), std::move(body), kRequestTimeout);
 }
 
-asio::awaitable<void> Cloud::wait_for_turn() {
+asio::awaitable<void> CloudClient::wait_for_rate_limit() {
   while (!rate_limiter_.take(1, 0, core::Steady::now())) {
-    core::Timer timer(co_await asio::this_coro::executor, core::secs(0.5 / rate_));
+    core::Timer timer(co_await asio::this_coro::executor, core::secs(0.5 / requests_per_s_));
     boost::system::error_code ec;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
 }
 
-asio::awaitable<Result<std::vector<MachineType>>> Cloud::machine_types() {
+asio::awaitable<Result<std::vector<MachineType>>> CloudClient::machine_types() {
   const http::Answer answer = co_await call(http::Verb::get, "/flavors", {});
   co_return parse(answer, "machine_types", read_machine_types);
 }
 
-asio::awaitable<Result<std::vector<ListedMachine>>> Cloud::machines() {
+asio::awaitable<Result<std::vector<ListedMachine>>> CloudClient::machines() {
   std::vector<ListedMachine> machines;
-  for (int page_number = 1; page_number <= kMostPages; ++page_number) {
+  for (int page_number = 1; page_number <= kMaxPages; ++page_number) {
     pages_ = std::max(pages_, page_number);
-    // A long list outlasts a burst of the limit: its next page waits for its turn rather than failing.
-    co_await wait_for_turn();
+    // The pages of a long list exceed the rate limit's burst. Waiting keeps the list from failing halfway.
+    co_await wait_for_rate_limit();
     std::string target = "/hosts?limit=500";
     if (!machines.empty()) target += "&from=" + machines.back().name;
-    const http::Answer answer = co_await client_->call(http::Verb::get, std::move(target), {}, kAnswerWithin);
+    const http::Answer answer =
+        co_await client_->call(http::Verb::get, std::move(target), {}, kRequestTimeout);
     auto result = parse(answer, "machines", read_machine_page);
     if (const auto* error = std::get_if<Error>(&result)) co_return *error;
     auto& page = std::get<MachinePage>(result);
@@ -179,14 +183,14 @@
   co_return machines;
 }
 
-asio::awaitable<Result<Rented>> Cloud::scale_out(std::string request_id, std::string type, std::string zone,
-                                                 bool spot, int count) {
+asio::awaitable<Result<Rented>> CloudClient::scale_out(std::string request_id, std::string type,
+                                                       std::string zone, bool spot, int count) {
   const http::Answer answer =
       co_await call(http::Verb::post, "/hosts", scale_out_body(request_id, type, zone, spot, count));
   co_return parse(answer, "scale_out", read_rented);
 }
 
-asio::awaitable<Result<Released>> Cloud::release(std::vector<std::string> names) {
+asio::awaitable<Result<Released>> CloudClient::release(std::vector<std::string> names) {
   const http::Answer answer = co_await call(http::Verb::post, "/hosts/release", release_body(names));
   if (const auto error = error_of(answer)) {
     spdlog::debug("cloud request failed request=release reason={} status={}", name_of(*error), answer.status);
--- a/tests/autoscaling/scale_in_plan_test.cpp
+++ b/tests/autoscaling/scale_in_plan_test.cpp
@@ -15,23 +15,23 @@
 core::TimePoint ago(double seconds) { return kNow - core::secs(seconds); }
 
 config::Settings settings() {
-  auto s = assignments::single_partition_settings();
-  s.report_s = 3;
-  s.lease_s = 30;
-  s.cloud_list_lag_s = 5;
-  return s;
+  auto settings = assignments::single_partition_settings();
+  settings.report_s = 3;
+  settings.lease_s = 30;
+  settings.cloud_list_lag_s = 5;
+  return settings;
 }
 
-/// The partition "a.0", which we lead, and in it the machine "m", healthy and empty.
-struct Scene : SinglePartition {
-  Scene() : SinglePartition(settings()) {
+/// A controller that leads partition "a.0", with one healthy, empty machine "m".
+struct Fixture : SinglePartition {
+  Fixture() : SinglePartition(settings()) {
     state.synchronized_at = ago(0.1);
     state.tuning.idle_return_s = 600;
     state.fleet.machine_types = {{"cpu.4", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}}};
     state.fleet.machine_type_ids = {state.names.types.intern("cpu.4")};
-    healthy("m");
+    add_healthy_machine("m");
   }
-  agent::Machine& healthy(const std::string& name) {
+  agent::Machine& add_healthy_machine(const std::string& name) {
     auto& machine = state.fleet.intern(state.names, name);
     machine.partition = partition;
     machine.type = state.fleet.machine_type_ids[0];
@@ -43,7 +43,7 @@
     return machine;
   }
   agent::Machine& machine() { return *state.fleet.find(*state.names.machines.find("m")); }
-  void silent(double seconds) { machine().last_heartbeat = ago(seconds); }
+  void set_silent_for(double seconds) { machine().last_heartbeat = ago(seconds); }
   void place_task(bool cancelled = false) {
     const auto id = job("req-1", 1, false);
     jobs::JobAssignments run;
@@ -61,15 +61,15 @@
 
 struct Case {
   const char* name;
-  std::function<void(Scene&)> arrange;
+  std::function<void(Fixture&)> arrange;
   std::optional<ScaleInReason> reason;
 };
 class ScaleInPlan : public testing::TestWithParam<Case> {};
-TEST_P(ScaleInPlan, Returns) {
-  Scene scene;
-  GetParam().arrange(scene);
+TEST_P(ScaleInPlan, ReleasesForExpectedReason) {
+  Fixture fixture;
+  GetParam().arrange(fixture);
   std::optional<ScaleInReason> reason;
-  for (const auto& decision : plan_scale_in(scene.state, kNow))
+  for (const auto& decision : plan_scale_in(fixture.state, kNow))
     if (decision.name == "m") reason = decision.reason;
   EXPECT_EQ(reason, GetParam().reason);
 }
@@ -78,131 +78,136 @@
 INSTANTIATE_TEST_SUITE_P(
     Table, ScaleInPlan,
     testing::Values(
-        Case{"healthy", [](Scene&) {}, kKept},
-        Case{"failed", [](Scene& s) { s.machine().status = "failed"; }, ScaleInReason::failed},
+        Case{"healthy", [](Fixture&) {}, kKept},
+        Case{"failed", [](Fixture& fixture) { fixture.machine().status = "failed"; }, ScaleInReason::failed},
         Case{"failed_and_already_terminating",
-             [](Scene& s) {
-               s.machine().status = "failed";
-               s.machine().terminating = true;
+             [](Fixture& fixture) {
+               fixture.machine().status = "failed";
+               fixture.machine().terminating = true;
              },
              kKept},
         Case{"failed_and_gone",
-             [](Scene& s) {
-               s.machine().status = "failed";
-               s.machine().gone = true;
+             [](Fixture& fixture) {
+               fixture.machine().status = "failed";
+               fixture.machine().gone = true;
              },
              kKept},
         Case{"state_is_not_current",
-             [](Scene& s) {
-               s.machine().status = "failed";
-               s.state.synchronized_at = ago(1.6);
+             [](Fixture& fixture) {
+               fixture.machine().status = "failed";
+               fixture.state.synchronized_at = ago(1.6);
              },
              kKept},
         Case{"another_controller_leads",
-             [](Scene& s) {
-               s.machine().status = "failed";
-               s.state.incarnation = 8;
+             [](Fixture& fixture) {
+               fixture.machine().status = "failed";
+               fixture.state.incarnation = 8;
              },
              kKept},
         Case{"in_use_unlisted_and_silent",
-             [](Scene& s) {
-               s.place_task();
-               s.machine().listed = false;
-               s.silent(12);
+             [](Fixture& fixture) {
+               fixture.place_task();
+               fixture.machine().listed = false;
+               fixture.set_silent_for(12);
              },
              ScaleInReason::unlisted},
         Case{"in_use_unlisted_yet_heartbeating",
-             [](Scene& s) {
-               s.place_task();
-               s.machine().listed = false;
-               s.silent(10);
+             [](Fixture& fixture) {
+               fixture.place_task();
+               fixture.machine().listed = false;
+               fixture.set_silent_for(10);
              },
              kKept},
-        Case{"in_use_never_listed_the_list_lags",
-             [](Scene& s) {
-               s.place_task();
-               s.machine().listed = s.machine().ever_listed = false;
-               s.silent(19);
+        Case{"in_use_not_listed_yet",
+             [](Fixture& fixture) {
+               fixture.place_task();
+               fixture.machine().listed = fixture.machine().ever_listed = false;
+               fixture.set_silent_for(19);
              },
              kKept},
         Case{"in_use_never_listed",
-             [](Scene& s) {
-               s.place_task();
-               s.machine().listed = s.machine().ever_listed = false;
-               s.silent(21);
+             [](Fixture& fixture) {
+               fixture.place_task();
+               fixture.machine().listed = fixture.machine().ever_listed = false;
+               fixture.set_silent_for(21);
              },
              ScaleInReason::unlisted},
         Case{"silent_within_the_wait",
-             [](Scene& s) {
-               s.healthy("other");
-               s.silent(44);
+             [](Fixture& fixture) {
+               fixture.add_healthy_machine("other");
+               fixture.set_silent_for(44);
              },
              kKept},
         Case{"silent",
-             [](Scene& s) {
-               s.healthy("other");
-               s.silent(46);
+             [](Fixture& fixture) {
+               fixture.add_healthy_machine("other");
+               fixture.set_silent_for(46);
              },
              ScaleInReason::silent},
-        Case{"silent_towards_an_earlier_leader",
-             [](Scene& s) {
-               s.healthy("other");
-               s.silent(46);
-               s.state.leading_since[0] = ago(20);
+        Case{"silent_only_to_an_earlier_leader",
+             [](Fixture& fixture) {
+               fixture.add_healthy_machine("other");
+               fixture.set_silent_for(46);
+               fixture.state.leading_since[0] = ago(20);
              },
              kKept},
-        Case{"silent_like_most_of_its_partition", [](Scene& s) { s.silent(119); }, kKept},
-        Case{"silent_like_most_for_too_long", [](Scene& s) { s.silent(121); }, ScaleInReason::silent},
+        Case{"silent_like_most_of_its_partition", [](Fixture& fixture) { fixture.set_silent_for(119); },
+             kKept},
+        Case{"silent_like_most_for_too_long", [](Fixture& fixture) { fixture.set_silent_for(121); },
+             ScaleInReason::silent},
         Case{"silent_with_a_cancelled_task",
-             [](Scene& s) {
-               s.place_task(true);
-               s.silent(34);
+             [](Fixture& fixture) {
+               fixture.place_task(true);
+               fixture.set_silent_for(34);
              },
              ScaleInReason::silent},
         Case{"starting_for_long",
-             [](Scene& s) {
-               s.machine().status = "starting";
-               s.machine().has_heartbeat = false;
-               s.machine().starting_since = ago(329);
+             [](Fixture& fixture) {
+               fixture.machine().status = "starting";
+               fixture.machine().has_heartbeat = false;
+               fixture.machine().starting_since = ago(329);
              },
              kKept},
         Case{"never_came_up",
-             [](Scene& s) {
-               s.machine().status = "starting";
-               s.machine().has_heartbeat = false;
-               s.machine().starting_since = ago(331);
+             [](Fixture& fixture) {
+               fixture.machine().status = "starting";
+               fixture.machine().has_heartbeat = false;
+               fixture.machine().starting_since = ago(331);
              },
              ScaleInReason::never_came_up},
-        Case{"quarantined", [](Scene& s) { s.machine().quarantined = true; }, ScaleInReason::quarantined},
+        Case{"quarantined", [](Fixture& fixture) { fixture.machine().quarantined = true; },
+             ScaleInReason::quarantined},
         Case{"quarantined_in_use",
-             [](Scene& s) {
-               s.place_task();
-               s.machine().quarantined = true;
+             [](Fixture& fixture) {
+               fixture.place_task();
+               fixture.machine().quarantined = true;
              },
              kKept},
-        Case{"unreachable_for_one_lease", [](Scene& s) { s.machine().mark_unreachable(ago(74)); }, kKept},
-        Case{"unreachable_for_two_leases", [](Scene& s) { s.machine().mark_unreachable(ago(76)); },
+        Case{"unreachable_for_one_lease",
+             [](Fixture& fixture) { fixture.machine().mark_unreachable(ago(74)); }, kKept},
+        Case{"unreachable_for_two_leases",
+             [](Fixture& fixture) { fixture.machine().mark_unreachable(ago(76)); },
              ScaleInReason::unreachable},
         Case{"unreachable_and_silent",
-             [](Scene& s) {
-               s.machine().mark_unreachable(ago(76));
-               s.silent(31);
+             [](Fixture& fixture) {
+               fixture.machine().mark_unreachable(ago(76));
+               fixture.set_silent_for(31);
              },
              kKept},
-        Case{"idle_for_a_while", [](Scene& s) { s.machine().idle_since = ago(599); }, kKept},
-        Case{"idle", [](Scene& s) { s.machine().idle_since = ago(601); }, ScaleInReason::idle},
+        Case{"idle_for_a_while", [](Fixture& fixture) { fixture.machine().idle_since = ago(599); }, kKept},
+        Case{"idle", [](Fixture& fixture) { fixture.machine().idle_since = ago(601); }, ScaleInReason::idle},
         Case{"in_use_is_not_idle",
-             [](Scene& s) {
-               s.place_task();
-               s.machine().idle_since = ago(601);
+             [](Fixture& fixture) {
+               fixture.place_task();
+               fixture.machine().idle_since = ago(601);
              },
              kKept}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(ScaleInPlan, ReturnsAtMostOneRequestFullAtOnce) {
-  Scene scene;
-  for (int i = 0; i < 60; ++i) scene.healthy("host-" + std::to_string(i)).status = "failed";
-  EXPECT_EQ(plan_scale_in(scene.state, kNow).size(), kMostReturnedAtOnce);
+TEST(ScaleInPlan, ReleasesNoMoreThanTheLimitAtOnce) {
+  Fixture fixture;
+  for (int i = 0; i < 60; ++i) fixture.add_healthy_machine("host-" + std::to_string(i)).status = "failed";
+  EXPECT_EQ(plan_scale_in(fixture.state, kNow).size(), kMaxReleasesPerPlan);
 }
 
 }  // namespace
--- a/tests/cloud/cloud_test.cpp
+++ b/tests/cloud/cloud_client_test.cpp
@@ -1,4 +1,4 @@
-#include "cloud/cloud.hpp"
+#include "cloud/cloud_client.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,26 +13,26 @@
 
 using sim::ScriptedNetwork;
 
-struct Scene {
-  explicit Scene(std::deque<http::Answer> answers, double requests_per_s = 1000)
+struct Fixture {
+  explicit Fixture(std::deque<http::Answer> answers, double requests_per_s = 1000)
       : cloud(network, settings(requests_per_s)) {
     network.answers = std::move(answers);
   }
   static config::Settings settings(double requests_per_s) {
-    config::Settings s;
-    s.cloud_rps = requests_per_s;
-    return s;
+    config::Settings settings;
+    settings.cloud_rps = requests_per_s;
+    return settings;
   }
   ScriptedNetwork network;
-  Cloud cloud;
+  CloudClient cloud;
 };
 
 const char* kTypes = R"({"racks":[{"name":"gpu.8","vcpus":64,"gpus":8,"ramGb":512.5,"cacheGb":100,
     "pullGbPerS":0.5,"rate":20,"spotPrice":6,"readyS":90,"halls":["a","b"]}]})";
 
-TEST(Cloud, ReadsMachineTypes) {
-  Scene scene({{200, kTypes}});
-  const auto result = sim::run_to_end([&] { return scene.cloud.machine_types(); });
+TEST(CloudClient, ReadsMachineTypes) {
+  Fixture fixture({{200, kTypes}});
+  const auto result = sim::run_to_end([&] { return fixture.cloud.machine_types(); });
   const auto* types = std::get_if<std::vector<MachineType>>(&result);
   ASSERT_TRUE(types);
   ASSERT_EQ(types->size(), 1u);
@@ -47,7 +47,7 @@
   EXPECT_EQ(type.spot_price, 6);
   EXPECT_EQ(type.boot_s, 90);
   EXPECT_EQ(type.zones, (std::vector<std::string>{"a", "b"}));
-  EXPECT_EQ(scene.network.targets, std::vector<std::string>{"/flavors"});
+  EXPECT_EQ(fixture.network.targets, std::vector<std::string>{"/flavors"});
 }
 
 struct ErrorCase {
@@ -56,9 +56,9 @@
   Error error;
 };
 class MachineTypesError : public testing::TestWithParam<ErrorCase> {};
-TEST_P(MachineTypesError, IsNamed) {
-  Scene scene({GetParam().answer});
-  const auto result = sim::run_to_end([&] { return scene.cloud.machine_types(); });
+TEST_P(MachineTypesError, IsReported) {
+  Fixture fixture({GetParam().answer});
+  const auto result = sim::run_to_end([&] { return fixture.cloud.machine_types(); });
   ASSERT_TRUE(std::holds_alternative<Error>(result));
   EXPECT_EQ(std::get<Error>(result), GetParam().error) << name_of(std::get<Error>(result));
 }
@@ -80,10 +80,10 @@
 const char* kLastPage = R"({"perches":[{"nameId":"m-2","endpoint":null,"rack":"cpu.4","hall":"b",
     "loaners":false,"status":"starting","heldS":3}],"hasNext":false})";
 
-TEST(Cloud, ReadsTheMachineListPageByPage) {
-  Scene scene({{200, kFirstPage}, {200, kLastPage}});
-  const auto every_s = scene.cloud.list_every_s();
-  const auto result = sim::run_to_end([&] { return scene.cloud.machines(); });
+TEST(CloudClient, ReadsTheMachineListPageByPage) {
+  Fixture fixture({{200, kFirstPage}, {200, kLastPage}});
+  const auto every_s = fixture.cloud.list_interval_s();
+  const auto result = sim::run_to_end([&] { return fixture.cloud.machines(); });
   const auto* machines = std::get_if<std::vector<ListedMachine>>(&result);
   ASSERT_TRUE(machines);
   ASSERT_EQ(machines->size(), 2u);
@@ -94,30 +94,30 @@
   EXPECT_EQ(first.zone, "a");
   EXPECT_EQ(first.status, "running");
   EXPECT_TRUE(first.spot);
-  EXPECT_EQ(first.held_s, 12.5);
+  EXPECT_EQ(first.rented_for_s, 12.5);
   EXPECT_EQ(machines->at(1).endpoint, "");
   EXPECT_FALSE(machines->at(1).spot);
-  EXPECT_EQ(scene.network.targets,
+  EXPECT_EQ(fixture.network.targets,
             (std::vector<std::string>{"/hosts?limit=500", "/hosts?limit=500&from=m-1"}));
-  // A longer list is read less often.
-  EXPECT_DOUBLE_EQ(scene.cloud.list_every_s(), 2 * every_s);
+  // A list of two pages is read half as often.
+  EXPECT_DOUBLE_EQ(fixture.cloud.list_interval_s(), 2 * every_s);
 }
 
-TEST(Cloud, HalfAListIsNone) {
+TEST(CloudClient, PartialListIsAnError) {
   struct Case {
     http::Answer second_page;
     Error error;
   };
   for (const auto& c : {Case{{500, ""}, Error::refused}, Case{{0, ""}, Error::no_answer},
                         Case{{200, R"({"perches":[]})"}, Error::malformed}}) {
-    Scene scene({{200, kFirstPage}, c.second_page});
-    const auto result = sim::run_to_end([&] { return scene.cloud.machines(); });
+    Fixture fixture({{200, kFirstPage}, c.second_page});
+    const auto result = sim::run_to_end([&] { return fixture.cloud.machines(); });
     ASSERT_TRUE(std::holds_alternative<Error>(result));
     EXPECT_EQ(std::get<Error>(result), c.error);
   }
 }
 
-TEST(Cloud, RequestsMachines) {
+TEST(CloudClient, RentsMachines) {
   struct Case {
     http::Answer answer;
     std::variant<std::vector<std::string>, Error> result;
@@ -127,10 +127,10 @@
                         Case{{503, R"({"error":"no capacity"})"}, Error::no_capacity},
                         Case{{503, R"({"error":"busy"})"}, Error::refused}, Case{{0, ""}, Error::no_answer},
                         Case{{200, R"({"perches":["m-1",2]})"}, Error::malformed}}) {
-    Scene scene({c.answer});
+    Fixture fixture({c.answer});
     const auto result =
-        sim::run_to_end([&] { return scene.cloud.scale_out("perch-0-7-1", "gpu.8", "a", true, 3); });
-    EXPECT_EQ(scene.network.bodies.at(0),
+        sim::run_to_end([&] { return fixture.cloud.scale_out("perch-0-7-1", "gpu.8", "a", true, 3); });
+    EXPECT_EQ(fixture.network.bodies.at(0),
               R"({"hire":"perch-0-7-1","rack":"gpu.8","hall":"a","loaners":true,"howMany":3})");
     ASSERT_EQ(result.index(), c.result.index()) << c.answer.body;
     if (const auto* rented = std::get_if<Rented>(&result))
@@ -140,29 +140,29 @@
   }
 }
 
-// Only 200 proves that the machines are gone.
-TEST(Cloud, ReleasesMachines) {
+// Only status 200 proves that the machines are gone.
+TEST(CloudClient, ReleasesMachines) {
   for (const int status : {200, 0, 404, 429, 500, 503}) {
-    Scene scene({{status, ""}});
-    const auto result = sim::run_to_end([&] { return scene.cloud.release({"m-1", "m-2"}); });
+    Fixture fixture({{status, ""}});
+    const auto result = sim::run_to_end([&] { return fixture.cloud.release({"m-1", "m-2"}); });
     EXPECT_EQ(std::holds_alternative<Released>(result), status == 200) << status;
-    EXPECT_EQ(scene.network.targets.at(0), "/hosts/release");
-    EXPECT_EQ(scene.network.bodies.at(0), R"({"perches":["m-1","m-2"]})");
+    EXPECT_EQ(fixture.network.targets.at(0), "/hosts/release");
+    EXPECT_EQ(fixture.network.bodies.at(0), R"({"perches":["m-1","m-2"]})");
   }
 }
 
-TEST(Cloud, SendsNothingBeyondItsShareOfTheLimit) {
-  Scene scene({{200, ""}, {200, ""}, {200, ""}}, 0.01);
+TEST(CloudClient, SendsNoRequestBeyondItsShareOfTheRateLimit) {
+  Fixture fixture({{200, ""}, {200, ""}, {200, ""}}, 0.01);
   int released = 0;
   for (int i = 0; i < 3; ++i) {
-    const auto result = sim::run_to_end([&] { return scene.cloud.release({"m-1"}); });
+    const auto result = sim::run_to_end([&] { return fixture.cloud.release({"m-1"}); });
     if (std::holds_alternative<Released>(result))
       ++released;
     else
       EXPECT_EQ(std::get<Error>(result), Error::rate_limited);
   }
   EXPECT_EQ(released, 2);
-  EXPECT_EQ(scene.network.targets.size(), 2u);
+  EXPECT_EQ(fixture.network.targets.size(), 2u);
 }
 
 }  // namespace
