--- a/src/agent/heartbeat_handler.cpp
+++ b/src/agent/heartbeat_handler.cpp
@@ -52,7 +52,7 @@
 
 /// The task is recorded as completed, in whatever partition. Replicas of a service never are.
 bool is_done(const state::StateCache& cache, const jobs::JobRecord& job, core::JobId id, std::uint32_t task) {
-  if (job.spec.standing()) return false;
+  if (job.spec.is_service()) return false;
   bool done = false;
   cache.each_run(id, [&](core::PartitionId, const jobs::JobAssignments& assignments) {
     done = done || assignments.done.contains(task);
@@ -136,7 +136,7 @@
     if (live && status && status->state != TaskState::fetching && status->cause != ExitCause::no_room)
       use_image(job->spec);
     if (status && status->state == TaskState::ended)
-      return handle_exit(item, *status, live && job->spec.standing());
+      return handle_exit(item, *status, live && job->spec.is_service());
     const bool unwanted = is_unwanted(item, live ? job : nullptr);
     if (!status) return handle_missing(item, unwanted);
     if (context_.fleet.confirmed_starts.try_emplace(start_of(item), context_.now).second && is_trusted())
@@ -283,7 +283,7 @@
 
 bool gang_broken(const jobs::JobRecord& job, const state::StateCache& cache, const Fleet& fleet,
                  core::JobId id) {
-  if (!job.spec.gang()) return false;
+  if (!job.spec.is_gang()) return false;
   std::size_t placed = 0;
   bool lost = false;
   cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
--- a/src/assignments/commit_refusal.hpp
+++ b/src/assignments/commit_refusal.hpp
@@ -1,4 +1,4 @@
-// How a commit that did not succeed is logged.
+// Logging of commits that did not succeed.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -10,14 +10,14 @@
 
 namespace finchrun::assignments {
 
-/// A conflict is expected among several writers; a malformed transaction is a fault of ours; the rest an
-/// on-call engineer may look at.
+/// Conflicts are expected with several writers (info). A malformed transaction is a bug of the controller
+/// (error). An on-call engineer may want to look at all others (warning).
 spdlog::level::level_enum refusal_level(state::CommitStatus status);
-/// "<event> partition=... reason=... failed_key=...", with the first compare that failed ("-": none is
-/// known).
+/// "<event> partition=... reason=... failed_key=...", with the key of the first compare that failed ("-" if
+/// unknown).
 std::string refusal_line(std::string_view event, std::string_view partition,
                          const state::CommitResult& result);
-/// Logs that line at that level.
+/// Logs `refusal_line` at `refusal_level`.
 void log_refusal(std::string_view event, std::string_view partition, const state::CommitResult& result);
 
 }  // namespace finchrun::assignments
--- a/src/assignments/exit_recorder.cpp
+++ b/src/assignments/exit_recorder.cpp
@@ -12,13 +12,14 @@
 std::vector<ExitRecorder::PartitionTransaction> ExitRecorder::plan() {
   std::vector<PartitionTransaction> planned;
   state_.with([&](ControllerState& state) {
-    // While the cache is read anew, no partition is known to be ours, and observed exits would be dropped.
+    // While the cache is being reloaded, this controller seems to lead no partition, and would drop observed
+    // exits.
     if (!state.loaded) return;
     state.drop_recorded_exits();
     for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
       const core::PartitionId partition{p};
       if (!state.leads(partition)) continue;
-      auto transaction = plan_next(state, partition);
+      auto transaction = plan_next_transaction(state, partition);
       if (transaction.writes.empty()) continue;
       planned.push_back({state.names.partitions.name(partition), std::move(transaction)});
     }
@@ -30,16 +31,16 @@
   auto planned = plan();
   for (auto& [partition, transaction] : planned) {
     const auto writes = static_cast<int>(transaction.writes.size());
-    if (!store_.spend(writes, state::KeyValueStore::For::records)) co_return;  // the rest in the next flush
-    // Named: GCC 12 destroys aggregates twice that are temporaries of a co_await.
+    if (!store_.spend(writes, state::KeyValueStore::For::records)) co_return;  // the next flush does the rest
+    // A named variable, since GCC 12 destroys aggregate temporaries of a co_await twice.
     state::Transaction commit{transaction.compares, std::move(transaction.writes)};
     const auto result = co_await follower_.commit(std::move(commit));
     if (result.outcome == CommitStatus::done) {
-      for (const auto& line : transaction.log) spdlog::info("{}", line);
+      for (const auto& line : transaction.log_lines) spdlog::info("{}", line);
       continue;
     }
     log_refusal("exits not recorded", partition, result);
-    // The exits stay observed, so the next flush tries again on what the next read of the changes shows.
+    // The exits stay observed, so the next flush retries them on the state that the next read brings.
     follower_.wake();
     if (result.outcome != CommitStatus::conflict) co_return;
   }
--- a/src/assignments/exit_recorder.hpp
+++ b/src/assignments/exit_recorder.hpp
@@ -1,4 +1,4 @@
-// Observed exits become records: what has ended, what is done, which jobs are over.
+// Records observed exits: assignments that have ended, done tasks and completed jobs.
 #pragma once
 
 #include <string>
@@ -13,20 +13,20 @@
 
 namespace asio = boost::asio;
 
-/// Records the exits that heartbeats have shown, for the partitions that this controller leads.
+/// Records the exits that heartbeats have reported, for the partitions that this controller leads.
 class ExitRecorder {
  public:
   ExitRecorder(controller::SharedState& state, state::KeyValueStore& store,
                coordination::StateFollower& follower)
       : state_(state), store_(store), follower_(follower) {}
 
-  /// One transaction for each partition with something to record. What can't be written now stays observed
-  /// and is recorded by a later call.
+  /// Commits one transaction for each partition that has something to record. Exits that can't be written now
+  /// stay observed, and a later call records them.
   asio::awaitable<void> flush();
 
  private:
   struct PartitionTransaction {
-    std::string partition;  // its name
+    std::string partition;  // name
     PlannedTransaction transaction;
   };
   std::vector<PartitionTransaction> plan();
--- a/src/assignments/open_shards.cpp
+++ b/src/assignments/open_shards.cpp
@@ -21,17 +21,17 @@
   for (const auto job_id : shard.jobs) {
     const auto* stored = state_.cache.run(job_id, id);
     const auto* job = state_.cache.job(job_id);
-    const bool over = job && job->status != jobs::Status::live;
-    if (!stored || (over && stored->assignments.empty())) continue;
-    auto& held = contents[job_id] = *stored;
-    tombstones_.apply_to(shard.name, job_id, held);
+    const bool finished = job && job->status != jobs::Status::live;
+    if (!stored || (finished && stored->assignments.empty())) continue;
+    auto& recorded = contents[job_id] = *stored;
+    tombstones_.apply_to(shard.name, job_id, recorded);
   }
   return contents;
 }
 
-bool OpenShards::fits(core::ShardId shard) const {
+bool OpenShards::is_within_limit(core::ShardId shard) const {
   return state_.cache.shard(shard).bytes <= max_bytes_ ||
-         bytes_at_most(contents(shard), state_.names) <= max_bytes_;
+         max_stored_bytes(contents(shard), state_.names) <= max_bytes_;
 }
 
 OpenShard* OpenShards::open(const std::string& name) {
@@ -40,9 +40,9 @@
   const auto id = state_.cache.find_shard(partition_, name);
   if (!id) return &shards_[name];
   auto jobs = contents(*id);
-  const auto bytes = bytes_at_most(jobs, state_.names);
+  const auto bytes = max_stored_bytes(jobs, state_.names);
   if (bytes > max_bytes_) return nullptr;
-  if (!tombstones_.too_long()) tombstones_.drop(name);
+  if (!tombstones_.exceeds_limit()) tombstones_.drop(name);
   auto& shard = shards_[name];
   shard = {state_.cache.shard(*id).revision, bytes, std::move(jobs)};
   return &shard;
@@ -57,44 +57,45 @@
 std::string OpenShards::unused_name() const {
   for (std::size_t number = 0;; ++number) {
     auto name = std::to_string(number);
-    const auto known = state_.cache.find_shard(partition_, name);
-    if (!contains(name) && (!known || state_.cache.shard(*known).revision == 0)) return name;
+    const auto stored = state_.cache.find_shard(partition_, name);
+    if (!contains(name) && (!stored || state_.cache.shard(*stored).revision == 0)) return name;
   }
 }
 
-// A job that has left a shard may not come back while stored tombstones that can't be rewritten name it
-// there: they would be taken for its own once more.
-bool OpenShards::may_hold(const std::string& name, core::JobId job) const {
-  if (!tombstones_.too_long() || !state_.cache.tombstones(partition_).of(name).contains(job)) return true;
+// A job that has left a shard must not return while a stored tombstone list that can't be rewritten yet names
+// it there: the tombstones would be applied to it a second time.
+bool OpenShards::can_hold(const std::string& name, core::JobId job) const {
+  if (!tombstones_.exceeds_limit() || !state_.cache.tombstones(partition_).of(name).contains(job))
+    return true;
   const auto shard = state_.cache.find_shard(partition_, name);
   return shard && state_.cache.run(job, *shard);
 }
 
-OpenShard* OpenShards::with_room(core::JobId job, std::size_t bytes) {
-  if (auto* shard = open_with_room(job, bytes)) return shard;
+OpenShard* OpenShards::open_with_room(core::JobId job, std::size_t bytes) {
+  if (auto* shard = find_open_with_room(job, bytes)) return shard;
   if (shards_.size() >= max_shards_) return nullptr;
-  const auto known = known_with_room(job, bytes);
-  return open(known.empty() ? unused_name() : known);
+  const auto stored = find_stored_with_room(job, bytes);
+  return open(stored.empty() ? unused_name() : stored);
 }
 
-// One that is written anyway, best the one that has the job already.
-OpenShard* OpenShards::open_with_room(core::JobId job, std::size_t bytes) {
+// An open shard, preferably one that has the job already, since it is written anyway.
+OpenShard* OpenShards::find_open_with_room(core::JobId job, std::size_t bytes) {
   OpenShard* best = nullptr;
   for (auto& [name, shard] : shards_) {
-    if (shard.bytes + bytes > max_bytes_ || !may_hold(name, job)) continue;
+    if (shard.bytes + bytes > max_bytes_ || !can_hold(name, job)) continue;
     if (!best || shard.jobs.contains(job)) best = &shard;
   }
   return best;
 }
 
-// The one with most tombstones, since writing it shortens their list; of those the fullest with room, so that
-// what is new stays together. Empty if none has room.
-std::string OpenShards::known_with_room(core::JobId job, std::size_t bytes) const {
+// The stored shard with the most tombstones, since writing it shortens the list; among equals the fullest
+// one, so that new assignments stay together. Empty if no shard has room.
+std::string OpenShards::find_stored_with_room(core::JobId job, std::size_t bytes) const {
   std::string choice;
   std::pair<std::size_t, std::size_t> best{0, 0};  // tombstones, bytes
   for (const auto id : state_.cache.shards(partition_)) {
     const auto& shard = state_.cache.shard(id);
-    if (contains(shard.name) || !may_hold(shard.name, job)) continue;
+    if (contains(shard.name) || !can_hold(shard.name, job)) continue;
     const std::pair score{tombstones_.count(shard.name), shard.bytes};
     if (shard.bytes + bytes > max_bytes_ || score < best) continue;
     best = score;
@@ -103,10 +104,11 @@
   return choice;
 }
 
-std::uint32_t OpenShards::done(core::JobId job) const {
+std::uint32_t OpenShards::done_tasks(core::JobId job) const {
   std::uint32_t done = 0;
   for (const auto& [_, shard] : shards_)
-    if (const auto held = shard.jobs.find(job); held != shard.jobs.end()) done += held->second.done.size();
+    if (const auto recorded = shard.jobs.find(job); recorded != shard.jobs.end())
+      done += recorded->second.done.size();
   return done;
 }
 
@@ -114,7 +116,7 @@
   const auto& partition = state_.names.partitions.name(partition_);
   for (const auto& [name, shard] : shards_) {
     const auto key = state::keys::shard(partition, name);
-    transaction.require(key, shard.revision);
+    transaction.require_revision(key, shard.revision);
     transaction.writes.push_back({key, state::encode_shard(shard.jobs, state_.names)});
   }
 }
--- a/src/assignments/open_shards.hpp
+++ b/src/assignments/open_shards.hpp
@@ -1,4 +1,4 @@
-// The assignment shards that a transaction in the making rewrites.
+// The assignment shards that a planned transaction rewrites.
 #pragma once
 
 #include <map>
@@ -12,45 +12,46 @@
 
 /// A shard as the transaction will leave it.
 struct OpenShard {
-  std::uint64_t revision = 0;  // at which it was read; 0: a new one
-  std::size_t bytes = 0;       // that it takes at most
+  std::uint64_t revision = 0;  // at which the shard was read; 0: a new shard
+  std::size_t bytes = 0;       // upper bound of the stored size
   ShardContents jobs;
 };
 
-/// The shards of one partition that the transaction rewrites; the tombstones of a shard that is opened are
-/// taken in. Jobs that are over and have nothing on any machine are left out of them.
+/// The shards of one partition that the transaction rewrites. Opening a shard applies its tombstones and
+/// drops finished jobs that have no assignments left.
 class OpenShards {
  public:
-  /// `max_shards`: so many may be open. Both references must outlive this.
+  /// At most `max_shards` may be open. Both references must outlive this object.
   OpenShards(const ControllerState& state, core::PartitionId partition, PlannedTombstones& tombstones,
              std::size_t max_shards);
 
   [[nodiscard]] bool empty() const { return shards_.empty(); }
   [[nodiscard]] std::size_t size() const { return shards_.size(); }
   [[nodiscard]] bool contains(const std::string& name) const { return shards_.contains(name); }
-  /// The shard if it is open, else null.
+  /// The shard if it is open, otherwise null.
   [[nodiscard]] OpenShard* find(const std::string& name);
-  /// Opens the shard. Null if too many are open, or if it is over the limit and has to be split first.
+  /// Opens the shard. Returns null if too many are open, or if it is over the limit and must be split first.
   OpenShard* open(const std::string& name);
-  /// An open or known shard with room for so many bytes of the job, or a new one; null if too many are open.
-  OpenShard* with_room(core::JobId job, std::size_t bytes);
-  /// What the shard is to hold from now on: what its tombstones say is taken in.
+  /// Returns an open shard with room for this many bytes of the job, or opens a stored or new one. Null if
+  /// too many are open.
+  OpenShard* open_with_room(core::JobId job, std::size_t bytes);
+  /// The stored contents of the shard with its tombstones applied.
   [[nodiscard]] ShardContents contents(core::ShardId shard) const;
-  /// Is the shard within the limit on values?
-  [[nodiscard]] bool fits(core::ShardId shard) const;
-  /// Opens the known shard with the first of the contents, and a new shard with each of the others. Their
-  /// sizes aren't counted: for a transaction that does nothing else.
+  /// The shard is within the value limit.
+  [[nodiscard]] bool is_within_limit(core::ShardId shard) const;
+  /// Opens the stored shard with the first of the contents, and a new shard with each of the others. Does not
+  /// count their sizes, so the transaction must do nothing else.
   void replace(core::ShardId shard, std::vector<ShardContents> contents);
-  /// Tasks of the job that the open shards say are done.
-  [[nodiscard]] std::uint32_t done(core::JobId job) const;
+  /// Done tasks of the job in the open shards.
+  [[nodiscard]] std::uint32_t done_tasks(core::JobId job) const;
 
-  /// Adds the shards' writes, each on condition that nobody has written the shard since.
+  /// Adds the writes of the shards, each on condition that the shard has not been written since.
   void write_to(PlannedTransaction& transaction) const;
 
  private:
-  [[nodiscard]] bool may_hold(const std::string& name, core::JobId job) const;
-  [[nodiscard]] OpenShard* open_with_room(core::JobId job, std::size_t bytes);
-  [[nodiscard]] std::string known_with_room(core::JobId job, std::size_t bytes) const;
+  [[nodiscard]] bool can_hold(const std::string& name, core::JobId job) const;
+  [[nodiscard]] OpenShard* find_open_with_room(core::JobId job, std::size_t bytes);
+  [[nodiscard]] std::string find_stored_with_room(core::JobId job, std::size_t bytes) const;
   [[nodiscard]] std::string unused_name() const;
 
   const ControllerState& state_;
--- a/src/assignments/placement_plan.cpp
+++ b/src/assignments/placement_plan.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-// The fencing token, the fence, one shard more, and the job's and its team's record.
+// Compares of the fencing token, the fence, one more shard, the job's record and its team's record.
 constexpr std::size_t kComparesPerPlacement = 5;
 
-// Nothing if one of the machines is going away.
-std::optional<std::vector<jobs::TaskAssignment>> assignments_of(const ControllerState& state,
-                                                                const PlannedPlacement& placement,
-                                                                std::uint64_t attempt) {
+// Empty if one of the machines is gone or terminating.
+std::optional<std::vector<jobs::TaskAssignment>> assignments_for(const ControllerState& state,
+                                                                 const PlannedPlacement& placement,
+                                                                 std::uint64_t attempt) {
   std::vector<jobs::TaskAssignment> assignments;
   for (const auto& [task, machine_id] : placement.tasks) {
     const auto* machine = state.fleet.find(machine_id);
@@ -26,21 +26,22 @@
 
 void require_job_and_quota(const ControllerState& state, core::JobId id, PlannedTransaction& transaction) {
   const auto& job = *state.cache.job(id);
-  // Nothing starts of a job that is over, or whose range has moved.
-  transaction.require(state::keys::job(state.names.jobs.name(id)), job.revision);
-  // The partition's quota share is what we think it is: it is lowered, by giving, only through this key.
+  // Fails the start of tasks whose job has ended or whose range has moved.
+  transaction.require_revision(state::keys::job(state.names.jobs.name(id)), job.revision);
+  // Fails if the partition's quota share has changed: giving quota away, which lowers it, writes this key.
   const auto team = job.spec.team;
-  transaction.require(state::keys::team(state.names.teams.name(team)), state.cache.team(team).revision);
+  transaction.require_revision(state::keys::team(state.names.teams.name(team)),
+                               state.cache.team(team).revision);
 }
 
-void start_when_durable(const ControllerState& state, const PlannedPlacement& placement,
+void add_start_commands(const ControllerState& state, const PlannedPlacement& placement,
                         const std::vector<jobs::TaskAssignment>& assignments,
                         PlannedTransaction& transaction) {
   const auto image = state.cache.job(placement.job)->spec.image;
   for (const auto& assignment : assignments) {
     transaction.starts[assignment.machine].push_back({placement.job, assignment.task, assignment.attempt});
     const auto* machine = state.fleet.find(assignment.machine);
-    transaction.log.push_back(fmt::format(
+    transaction.log_lines.push_back(fmt::format(
         "task placed job={} task={} attempt={} machine={} partition={} fencing_token={} weight={:.3f} "
         "image={} image_cached={}",
         state.names.jobs.name(placement.job), assignment.task, assignment.attempt,
@@ -57,15 +58,15 @@
   const auto partition = placements[first].partition;
   PlacementBatch batch{{}, state.names.partitions.name(partition), first};
   auto& transaction = batch.transaction;
-  // Under another fencing token, though the partition be ours again, others may have written what this was
-  // decided from.
+  // Under another fencing token, other leaders may have changed the records that the placements were decided
+  // from, even if this controller leads the partition again.
   if (!state.leads(partition) || state.fencing_token(partition) != placements[first].fencing_token) {
     ++batch.next;
     return batch;
   }
   AssignmentWriter writer(state, partition);
-  // The room that was counted on: its exit must be recorded with what takes its place. What does not fit into
-  // this transaction has ended all the same.
+  // The placements use the capacity of exited tasks, so the exits are recorded with them. An exit that does
+  // not fit into this transaction has freed its capacity all the same.
   for (const auto& exit : state.fleet.observed_exits)
     if (exit.partition == partition) writer.record_exit(exit);
   const auto max_compares = state.settings.state_limits.max_compares();
@@ -73,17 +74,18 @@
     const auto& placement = placements[batch.next];
     const auto* job = state.cache.job(placement.job);
     if (!job || job->revision != placement.job_revision) continue;
-    if (transaction.compares.size() + writer.touched() + kComparesPerPlacement > max_compares) break;
-    const auto assignments = assignments_of(state, placement, attempt);
+    if (transaction.compares.size() + writer.written_key_count() + kComparesPerPlacement > max_compares)
+      break;
+    const auto assignments = assignments_for(state, placement, attempt);
     if (!assignments) continue;
     if (!writer.add(placement.job, *assignments)) {
-      if (!transaction.starts.empty()) break;  // in the next transaction
-      continue;                                // in another round, when less has to be written with it
+      if (!transaction.starts.empty()) break;  // left to the next transaction
+      continue;  // left to a later round, which has fewer exits to write with it
     }
     require_job_and_quota(state, placement.job, transaction);
-    start_when_durable(state, placement, *assignments, transaction);
+    add_start_commands(state, placement, *assignments, transaction);
   }
-  if (writer.touched() > 0) writer.finish(transaction);
+  if (writer.written_key_count() > 0) writer.write_to(transaction);
   return batch;
 }
 
--- a/src/assignments/placement_plan.hpp
+++ b/src/assignments/placement_plan.hpp
@@ -1,4 +1,4 @@
-// The transactions that record a scheduling round's placements: pure planning, no I/O.
+// Plans the transactions that record a scheduling round's placements. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,27 +10,27 @@
 
 namespace finchrun::assignments {
 
-/// What a scheduling round has found for one job.
+/// The placement of one job's tasks that a scheduling round has decided.
 struct PlannedPlacement {
   core::PartitionId partition;
-  std::uint64_t fencing_token = 0;  // the partition's when it was decided
+  std::uint64_t fencing_token = 0;  // of the partition at the time of the decision
   core::JobId job;
-  std::uint64_t job_revision = 0;  // of the job's record when it was decided
-  double weight = 0;               // the job's in the round's ranking, for the log
+  std::uint64_t job_revision = 0;  // of the job's record at the time of the decision
+  double weight = 0;               // of the job in the round's ranking, for the log
   std::vector<std::pair<std::uint32_t, core::MachineId>> tasks;
 };
 
 /// One transaction of a round's placements.
 struct PlacementBatch {
-  PlannedTransaction transaction;  // no writes: nothing of these placements can be recorded
-  std::string partition;           // its name
-  std::size_t next = 0;            // the first placement that is left to a later batch
+  PlannedTransaction transaction;  // without writes if none of the placements can be recorded
+  std::string partition;           // name
+  std::size_t next = 0;            // index of the first placement that is left to a later batch
 };
 
-/// As many of the placements, from `first` on and of one partition, as fit into one transaction; each of them
-/// as a whole or not at all. Passed over is what may have been decided on old records: under another fencing
-/// token, of a job whose record has changed, on a machine that is going away; and what no transaction has
-/// room for. Observed exits are recorded with them, since the room that they left was counted on.
+/// Plans one transaction with as many placements, from `first` on and of one partition, as fit; each entirely
+/// or not at all. Skips placements that may have been decided on stale records (under another fencing token,
+/// of a job whose record has changed, on a machine that is gone or terminating), and those too large for any
+/// transaction. Records observed exits too, since the placements use the capacity that they freed.
 PlacementBatch plan_placements(const ControllerState& state, const std::vector<PlannedPlacement>& placements,
                                std::size_t first, std::uint64_t attempt);
 
--- a/src/assignments/placement_recorder.cpp
+++ b/src/assignments/placement_recorder.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr double kRetryAfterS = 0.4;
+constexpr double kRetryDelayS = 0.4;
 
 }  // namespace
 
 asio::awaitable<std::optional<core::TimePoint>> PlacementRecorder::record(
     std::vector<PlannedPlacement> placements, std::uint64_t attempt) {
   std::optional<core::TimePoint> retry_at;
-  // The earliest of the moments counts.
-  const auto retry = [&] {
-    if (!retry_at) retry_at = core::Steady::now() + core::secs(kRetryAfterS);
+  // Keeps the earliest time.
+  const auto schedule_retry = [&] {
+    if (!retry_at) retry_at = core::Steady::now() + core::secs(kRetryDelayS);
   };
   for (std::size_t next = 0; next < placements.size();) {
     auto batch = state_.with(
@@ -28,23 +28,23 @@
     auto& transaction = batch.transaction;
     if (transaction.writes.empty()) continue;
     if (!store_.spend(static_cast<int>(transaction.writes.size()), state::KeyValueStore::For::records)) {
-      retry();
+      schedule_retry();
       co_return retry_at;
     }
-    // Named: GCC 12 destroys aggregates twice that are temporaries of a co_await.
+    // A named variable, since GCC 12 destroys aggregate temporaries of a co_await twice.
     state::Transaction commit{transaction.compares, std::move(transaction.writes)};
     const auto result = co_await follower_.commit(std::move(commit));
     if (result.outcome == CommitStatus::done) {
-      for (const auto& line : transaction.log) spdlog::info("{}", line);
+      for (const auto& line : transaction.log_lines) spdlog::info("{}", line);
       send_starts(transaction);
       continue;
     }
     log_refusal("placements not recorded", batch.partition, result);
-    // Try again as soon as the next read of the changes has shown what is different.
-    retry();
+    // Retries once the next read of the store has brought the change that caused the failure.
+    schedule_retry();
     follower_.wake();
     if (result.outcome != CommitStatus::unknown) continue;
-    fences_.require_new(transaction.compares);
+    fences_.mark_due(transaction.compares);
     co_return retry_at;
   }
   co_return retry_at;
--- a/src/assignments/placement_recorder.hpp
+++ b/src/assignments/placement_recorder.hpp
@@ -1,4 +1,4 @@
-// Placements are recorded before any start command leaves, and nothing is decided on records that a late
+// Records placements before any start command is sent, and keeps decisions from using records that a late
 // write may still change.
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace asio = boost::asio;
 
-/// Writes a round's placements and sends their start commands once they are durable (write-ahead).
+/// Commits a round's placements and sends their start commands once they are durable (write-ahead).
 class PlacementRecorder {
  public:
   PlacementRecorder(controller::SharedState& state, state::KeyValueStore& store,
@@ -28,14 +28,14 @@
         runtime_(runtime),
         fences_(state, store, follower) {}
 
-  /// Records the placements in as many transactions as they need. When something could not be recorded: the
-  /// moment from which the next round may try again.
+  /// Records the placements in as many transactions as they need. If some could not be recorded, returns the
+  /// time from which the next round may retry.
   asio::awaitable<std::optional<core::TimePoint>> record(std::vector<PlannedPlacement> placements,
                                                          std::uint64_t attempt);
-  /// See WriteFences::require_new.
-  void require_new_fences(const std::vector<state::Compare>& compares) { fences_.require_new(compares); }
-  /// See WriteFences::move_due.
-  asio::awaitable<void> move_fences() { return fences_.move_due(); }
+  /// See WriteFences::mark_due.
+  void mark_fences_due(const std::vector<state::Compare>& compares) { fences_.mark_due(compares); }
+  /// See WriteFences::move_due_fences.
+  asio::awaitable<void> move_due_fences() { return fences_.move_due_fences(); }
 
  private:
   void send_starts(const PlannedTransaction& transaction);
--- a/src/assignments/planned_tombstones.cpp
+++ b/src/assignments/planned_tombstones.cpp
@@ -6,104 +6,106 @@
 
 namespace {
 
-// The quotes, the colon, the braces and the comma around a shard's jobs.
-constexpr std::size_t kShardFrameBytes = 6;
-// The same around a job's list, with room to spare.
-constexpr std::size_t kJobFrameBytes = 8;
+// Quotes, colon, braces and comma around the jobs of a shard.
+constexpr std::size_t kShardDelimiterBytes = 6;
+// Quotes, colon, brackets and comma around the tombstones of a job, with some slack.
+constexpr std::size_t kJobDelimiterBytes = 8;
 
-std::size_t item_bytes(const state::Tombstone& item) {
-  return json::serialize(state::to_json(item)).size() + 1;  // and the comma
+std::size_t tombstone_bytes(const state::Tombstone& tombstone) {
+  return json::serialize(state::to_json(tombstone)).size() + 1;  // with the comma
 }
-std::size_t frame_bytes(const std::string& shard) { return shard.size() + kShardFrameBytes; }
+std::size_t shard_entry_bytes(const std::string& shard) { return shard.size() + kShardDelimiterBytes; }
 
 }  // namespace
 
 state::Tombstone tombstone_of(const agent::ObservedExit& exit, const jobs::JobRecord* job) {
-  state::Tombstone item{exit.task, exit.attempt, {0, 0}};
-  if (!exit.done) return item;
-  if (job && job->spec.gang())
-    item.done = {0, job->spec.tasks};
-  else if (!job || !job->spec.standing())
-    item.done = {exit.task, exit.task + 1};
-  return item;
+  state::Tombstone tombstone{exit.task, exit.attempt, {0, 0}};
+  if (!exit.done) return tombstone;
+  if (job && job->spec.is_gang())
+    tombstone.done = {0, job->spec.tasks};
+  else if (!job || !job->spec.is_service())
+    tombstone.done = {exit.task, exit.task + 1};
+  return tombstone;
 }
 
 PlannedTombstones::PlannedTombstones(const ControllerState& state, core::PartitionId partition)
     : state_(state), partition_(partition), max_bytes_(state.settings.state_limits.value_bytes()) {
   const auto& stored = state.cache.tombstones(partition).shards;
   for (const auto& [name, jobs] : stored) {
-    // Its shard has been written without what has ended: nothing is lost with these.
+    // The shard has been written without the ended assignments, so these tombstones can be dropped.
     const auto shard = state.cache.find_shard(partition, name);
     if (shard && !state.cache.shard(*shard).needs_tombstones()) continue;
     shards_.emplace(name, jobs);
-    bytes_ += frame_bytes(name);
-    for (const auto& [job, items] : jobs) bytes_ += job_bytes(job, items);
+    bytes_ += shard_entry_bytes(name);
+    for (const auto& [job, tombstones] : jobs) bytes_ += job_entry_bytes(job, tombstones);
   }
-  too_long_ = bytes_ > max_bytes_;
-  // While items that nobody needs stand in the store, nothing of their jobs may leave its shard unnoticed.
-  changed_ = !too_long_ && shards_.size() != stored.size();
+  exceeds_limit_ = bytes_ > max_bytes_;
+  // Removes obsolete tombstones from the store: while they are there, they would be applied again to a job
+  // that leaves its shard and returns.
+  changed_ = !exceeds_limit_ && shards_.size() != stored.size();
 }
 
-std::size_t PlannedTombstones::job_bytes(core::JobId job, const std::vector<state::Tombstone>& items) const {
-  std::size_t bytes = state_.names.jobs.name(job).size() + kJobFrameBytes;
-  for (const auto& item : items) bytes += item_bytes(item);
+std::size_t PlannedTombstones::job_entry_bytes(core::JobId job,
+                                               const std::vector<state::Tombstone>& tombstones) const {
+  std::size_t bytes = state_.names.jobs.name(job).size() + kJobDelimiterBytes;
+  for (const auto& tombstone : tombstones) bytes += tombstone_bytes(tombstone);
   return bytes;
 }
 
 std::size_t PlannedTombstones::count(const std::string& shard) const {
-  const auto noted = shards_.find(shard);
-  if (noted == shards_.end()) return 0;
+  const auto found = shards_.find(shard);
+  if (found == shards_.end()) return 0;
   std::size_t count = 0;
-  for (const auto& [_, items] : noted->second) count += items.size();
+  for (const auto& [_, tombstones] : found->second) count += tombstones.size();
   return count;
 }
 
-std::optional<std::string> PlannedTombstones::longest() const {
-  std::optional<std::string> longest;
-  std::size_t most = 0;
+std::optional<std::string> PlannedTombstones::shard_with_most_tombstones() const {
+  std::optional<std::string> best;
+  std::size_t max_count = 0;
   for (const auto& [name, _] : shards_) {
-    const auto items = count(name);
-    if (items <= most) continue;
-    most = items;
-    longest = name;
+    const auto tombstone_count = count(name);
+    if (tombstone_count <= max_count) continue;
+    max_count = tombstone_count;
+    best = name;
   }
-  return longest;
+  return best;
 }
 
 void PlannedTombstones::apply_to(const std::string& shard, core::JobId job,
-                                 jobs::JobAssignments& held) const {
-  const auto noted = shards_.find(shard);
-  if (noted == shards_.end()) return;
-  if (const auto items = noted->second.find(job); items != noted->second.end())
-    state::apply_tombstones(held, items->second);
+                                 jobs::JobAssignments& recorded) const {
+  const auto found = shards_.find(shard);
+  if (found == shards_.end()) return;
+  if (const auto tombstones = found->second.find(job); tombstones != found->second.end())
+    state::apply_tombstones(recorded, tombstones->second);
 }
 
 bool PlannedTombstones::has_room(const std::string& shard, core::JobId job,
-                                 const state::Tombstone& item) const {
-  return bytes_ + job_bytes(job, {item}) + frame_bytes(shard) <= max_bytes_;
+                                 const state::Tombstone& tombstone) const {
+  return bytes_ + job_entry_bytes(job, {tombstone}) + shard_entry_bytes(shard) <= max_bytes_;
 }
 
-void PlannedTombstones::add(const std::string& shard, core::JobId job, const state::Tombstone& item) {
-  if (!shards_.contains(shard)) bytes_ += frame_bytes(shard);
-  auto& items = shards_[shard][job];
-  bytes_ += items.empty() ? job_bytes(job, {item}) : item_bytes(item);
-  items.push_back(item);
+void PlannedTombstones::add(const std::string& shard, core::JobId job, const state::Tombstone& tombstone) {
+  if (!shards_.contains(shard)) bytes_ += shard_entry_bytes(shard);
+  auto& tombstones = shards_[shard][job];
+  bytes_ += tombstones.empty() ? job_entry_bytes(job, {tombstone}) : tombstone_bytes(tombstone);
+  tombstones.push_back(tombstone);
   changed_ = true;
 }
 
 void PlannedTombstones::drop(const std::string& shard) {
-  const auto noted = shards_.find(shard);
-  if (noted == shards_.end()) return;
-  bytes_ -= frame_bytes(shard);
-  for (const auto& [job, items] : noted->second) bytes_ -= job_bytes(job, items);
-  shards_.erase(noted);
+  const auto found = shards_.find(shard);
+  if (found == shards_.end()) return;
+  bytes_ -= shard_entry_bytes(shard);
+  for (const auto& [job, tombstones] : found->second) bytes_ -= job_entry_bytes(job, tombstones);
+  shards_.erase(found);
   changed_ = true;
 }
 
 void PlannedTombstones::write_to(PlannedTransaction& transaction) const {
   if (!changed_) return;
   const auto key = state::keys::tombstones(state_.names.partitions.name(partition_));
-  transaction.require(key, state_.cache.tombstones(partition_).revision);
+  transaction.require_revision(key, state_.cache.tombstones(partition_).revision);
   transaction.writes.push_back({key, state::encode(shards_, state_.names)});
 }
 
--- a/src/assignments/planned_transaction.cpp
+++ b/src/assignments/planned_transaction.cpp
@@ -4,7 +4,7 @@
 
 namespace finchrun::assignments {
 
-void PlannedTransaction::require(const std::string& key, std::uint64_t revision) {
+void PlannedTransaction::require_revision(const std::string& key, std::uint64_t revision) {
   if (std::none_of(compares.begin(), compares.end(), [&](const auto& compare) { return compare.key == key; }))
     compares.push_back({key, revision});
 }
--- a/src/assignments/planned_transaction.hpp
+++ b/src/assignments/planned_transaction.hpp
@@ -1,4 +1,4 @@
-// A transaction in the making: what it compares, what it writes, and what may happen once it is durable.
+// A planned transaction: its compares, its writes, and the actions that follow once it is durable.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 
 namespace finchrun::assignments {
 
-/// One compare-and-swap transaction, and what follows it. Nothing that it stands for may leave this
-/// controller before its commit was answered with `done` (write-ahead).
+/// One compare-and-swap transaction and the actions that follow it. The controller must not act on it before
+/// the commit was answered with `done` (write-ahead).
 struct PlannedTransaction {
   std::vector<state::Compare> compares;
   std::vector<state::Write> writes;
-  /// Log lines, whole, for the moment at which the transaction is durable; dropped if it never is.
-  std::vector<std::string> log;
-  /// Task attempts whose start commands may leave once the transaction is durable, by machine.
+  /// Complete log lines, written once the transaction is durable, dropped if the commit fails.
+  std::vector<std::string> log_lines;
+  /// Task attempts to start once the transaction is durable, by machine.
   std::map<core::MachineId, std::vector<agent::TaskAttempt>> starts;
 
-  /// Has the transaction fail unless the key is at this revision (0: does not exist). The first call for a
-  /// key counts, further ones change nothing: all come from the same copy of the store.
-  void require(const std::string& key, std::uint64_t revision);
+  /// Makes the transaction fail unless the key is at this revision (0: does not exist). Further calls for the
+  /// same key have no effect, since all revisions come from the same snapshot.
+  void require_revision(const std::string& key, std::uint64_t revision);
 };
 
 }  // namespace finchrun::assignments
--- a/src/assignments/shard_shrinker.hpp
+++ b/src/assignments/shard_shrinker.hpp
@@ -1,4 +1,4 @@
-// Brings one partition's records within the limits on values, step by step.
+// Brings one partition's records within the value limit, step by step.
 #pragma once
 
 #include "assignments/open_shards.hpp"
@@ -6,11 +6,11 @@
 
 namespace finchrun::assignments {
 
-/// Plans one step towards values within the limits, for records that were written under larger ones. A step
-/// is a transaction of its own.
+/// Plans one step of shrinking records that were written under larger limits. Each step is a transaction of
+/// its own.
 class ShardShrinker {
  public:
-  /// `max_writes`: so many writes the transaction may hold. The references must outlive this.
+  /// `max_writes`: the limit on writes in the transaction. The references must outlive this object.
   ShardShrinker(const ControllerState& state, core::PartitionId partition, PlannedTombstones& tombstones,
                 OpenShards& shards, std::size_t max_writes)
       : state_(state),
@@ -19,8 +19,8 @@
         shards_(shards),
         max_writes_(max_writes) {}
 
-  /// One shard is split, or those are rewritten that a too long tombstone list speaks of. False if there is
-  /// nothing to do, or nothing that fits into one transaction.
+  /// Splits one shard over the limit, or rewrites the shards that a tombstone list over the limit names.
+  /// Returns false if there is nothing to do, or no step that fits into one transaction.
   bool shrink();
 
  private:
--- a/src/assignments/shard_split.cpp
+++ b/src/assignments/shard_split.cpp
@@ -3,21 +3,21 @@
 namespace finchrun::assignments {
 namespace {
 
-/// Fills one shard after the other, the one that is split first.
+/// Fills one shard after the other, starting with the shard that is split.
 class ShardFiller {
  public:
-  /// `first`: what the shard that is split holds from the start.
+  /// `first`: the initial contents of the shard that is split.
   ShardFiller(ShardContents first, std::size_t max_bytes, const jobs::Names& names)
-      : names_(names), max_bytes_(max_bytes), bytes_(bytes_at_most(first, names)) {
+      : names_(names), max_bytes_(max_bytes), bytes_(max_stored_bytes(first, names)) {
     shards_.push_back(std::move(first));
   }
   void put_done(core::JobId job, const jobs::Intervals& done) {
     for (const auto& span : done.spans())
-      put(job, [&](jobs::JobAssignments& held) { held.done.add(span.first, span.second); });
+      put(job, [&](jobs::JobAssignments& recorded) { recorded.done.add(span.first, span.second); });
   }
   void put_assignments(core::JobId job, const std::vector<jobs::TaskAssignment>& assignments) {
     for (const auto& assignment : assignments)
-      put(job, [&](jobs::JobAssignments& held) { held.assignments.push_back(assignment); });
+      put(job, [&](jobs::JobAssignments& recorded) { recorded.assignments.push_back(assignment); });
   }
   void next_shard() {
     shards_.emplace_back();
@@ -26,69 +26,71 @@
   [[nodiscard]] std::vector<ShardContents> take() { return std::move(shards_); }
 
  private:
-  // Puts one span or assignment of the job into the newest shard, or into one more if that is full.
+  // Adds one span or assignment of the job to the newest shard, or to a further one if that is full.
   template <class Add>
   void put(core::JobId job, Add&& add) {
     auto& newest = shards_.back();
-    const auto known = newest.find(job);
-    auto held = known == newest.end() ? jobs::JobAssignments{} : known->second;
-    const auto before = known == newest.end() ? 0 : jobs::bytes_at_most(held, names_);
-    add(held);
-    const auto bytes = bytes_ + jobs::bytes_at_most(held, names_) - before;
+    const auto found = newest.find(job);
+    auto recorded = found == newest.end() ? jobs::JobAssignments{} : found->second;
+    const auto before = found == newest.end() ? 0 : jobs::max_stored_bytes(recorded, names_);
+    add(recorded);
+    const auto bytes = bytes_ + jobs::max_stored_bytes(recorded, names_) - before;
     if (bytes <= max_bytes_) {
       bytes_ = bytes;
-      newest[job] = std::move(held);
+      newest[job] = std::move(recorded);
       return;
     }
     next_shard();
     add(shards_.back()[job]);
-    bytes_ = bytes_at_most(shards_.back(), names_);
+    bytes_ = max_stored_bytes(shards_.back(), names_);
   }
 
   const jobs::Names& names_;
-  std::size_t max_bytes_, bytes_;  // bytes_: of the newest shard
+  std::size_t max_bytes_, bytes_;  // bytes_: upper bound of the newest shard's size
   std::vector<ShardContents> shards_;
 };
 
-// The done tasks that may not move to another shard.
-ShardContents done_that_stays(const ShardContents& contents, const SplitRules& rules) {
+// The done tasks that must not move to another shard.
+ShardContents pinned_done_tasks(const ShardContents& contents, const SplitConstraints& constraints) {
   ShardContents first;
-  for (const auto job : rules.done_stays)
-    if (const auto held = contents.find(job); held != contents.end() && !held->second.done.spans().empty())
-      first[job].done = held->second.done;
+  for (const auto job : constraints.jobs_with_pinned_done)
+    if (const auto recorded = contents.find(job);
+        recorded != contents.end() && !recorded->second.done.spans().empty())
+      first[job].done = recorded->second.done;
   return first;
 }
 
 }  // namespace
 
-std::size_t bytes_at_most(const ShardContents& contents, const jobs::Names& names) {
+std::size_t max_stored_bytes(const ShardContents& contents, const jobs::Names& names) {
   std::size_t bytes = 0;
-  for (const auto& [_, held] : contents) bytes += jobs::bytes_at_most(held, names);
+  for (const auto& [_, recorded] : contents) bytes += jobs::max_stored_bytes(recorded, names);
   return bytes;
 }
 
-std::optional<std::vector<ShardContents>> split_shard(const ShardContents& contents, const SplitRules& rules,
+std::optional<std::vector<ShardContents>> split_shard(const ShardContents& contents,
+                                                      const SplitConstraints& constraints,
                                                       const jobs::Names& names) {
-  auto first = done_that_stays(contents, rules);
-  if (bytes_at_most(first, names) > rules.max_bytes) return std::nullopt;
-  ShardFiller filler(std::move(first), rules.max_bytes, names);
-  bool some_leave = false;
-  for (const auto& [job, held] : contents) {
-    if (rules.must_leave.contains(job)) {
-      some_leave = true;
+  auto first = pinned_done_tasks(contents, constraints);
+  if (max_stored_bytes(first, names) > constraints.max_bytes) return std::nullopt;
+  ShardFiller filler(std::move(first), constraints.max_bytes, names);
+  bool has_jobs_to_move = false;
+  for (const auto& [job, recorded] : contents) {
+    if (constraints.jobs_to_move.contains(job)) {
+      has_jobs_to_move = true;
       continue;
     }
-    if (!rules.done_stays.contains(job)) filler.put_done(job, held.done);
-    filler.put_assignments(job, held.assignments);
+    if (!constraints.jobs_with_pinned_done.contains(job)) filler.put_done(job, recorded.done);
+    filler.put_assignments(job, recorded.assignments);
   }
-  if (some_leave) filler.next_shard();
-  for (const auto& [job, held] : contents) {
-    if (!rules.must_leave.contains(job)) continue;
-    filler.put_done(job, held.done);
-    filler.put_assignments(job, held.assignments);
+  if (has_jobs_to_move) filler.next_shard();
+  for (const auto& [job, recorded] : contents) {
+    if (!constraints.jobs_to_move.contains(job)) continue;
+    filler.put_done(job, recorded.done);
+    filler.put_assignments(job, recorded.assignments);
   }
   auto shards = filler.take();
-  if (shards.size() > rules.max_shards) return std::nullopt;
+  if (shards.size() > constraints.max_shards) return std::nullopt;
   return shards;
 }
 
--- a/src/assignments/shard_split.hpp
+++ b/src/assignments/shard_split.hpp
@@ -1,4 +1,4 @@
-// A shard that is over the limit on values is split: what it holds is spread over itself and new shards.
+// Splits a shard over the value limit: distributes its contents over itself and new shards.
 #pragma once
 
 #include <map>
@@ -10,23 +10,24 @@
 
 namespace finchrun::assignments {
 
-/// What one shard holds, by job.
+/// The contents of one shard, by job.
 using ShardContents = std::map<core::JobId, jobs::JobAssignments>;
 
-/// Bytes that the contents take in their shard at most, however their tasks end.
-std::size_t bytes_at_most(const ShardContents& contents, const jobs::Names& names);
+/// Upper bound of the stored size of the contents, however their tasks end.
+std::size_t max_stored_bytes(const ShardContents& contents, const jobs::Names& names);
 
-/// What a split must keep to.
-struct SplitRules {
-  std::size_t max_bytes = 0;         // of each shard
-  std::size_t max_shards = 0;        // with the one that is split
-  std::set<core::JobId> done_stays;  // done tasks of these stay in the shard that is split
-  std::set<core::JobId> must_leave;  // nothing of these stays in the shard that is split
+/// The constraints of a split.
+struct SplitConstraints {
+  std::size_t max_bytes = 0;                    // of each shard
+  std::size_t max_shards = 0;                   // including the one that is split
+  std::set<core::JobId> jobs_with_pinned_done;  // their done tasks stay in the shard that is split
+  std::set<core::JobId> jobs_to_move;           // these must leave the shard that is split
 };
 
-/// The contents of the shard that is split, first, and of the new ones: each assignment and each done task
-/// stands in exactly one of them. Nothing if the rules can't be kept.
-std::optional<std::vector<ShardContents>> split_shard(const ShardContents& contents, const SplitRules& rules,
+/// The contents of the shard that is split, first, and of the new shards: each assignment and each done task
+/// is in exactly one of them. Empty if the constraints can't be met.
+std::optional<std::vector<ShardContents>> split_shard(const ShardContents& contents,
+                                                      const SplitConstraints& constraints,
                                                       const jobs::Names& names);
 
 }  // namespace finchrun::assignments
--- a/src/assignments/write_fences.cpp
+++ b/src/assignments/write_fences.cpp
@@ -11,8 +11,8 @@
 
 using state::CommitStatus;
 
-std::vector<core::PartitionId> partitions_fenced_by(const ControllerState& state,
-                                                    const std::vector<state::Compare>& compares) {
+std::vector<core::PartitionId> fenced_partitions(const ControllerState& state,
+                                                 const std::vector<state::Compare>& compares) {
   std::vector<core::PartitionId> partitions;
   for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
     const core::PartitionId partition{p};
@@ -38,10 +38,10 @@
   return moves;
 }
 
-void WriteFences::require_new(const std::vector<state::Compare>& compares) {
+void WriteFences::mark_due(const std::vector<state::Compare>& compares) {
   const auto due = state_.with([&](ControllerState& state) {
     std::vector<std::string> names;
-    for (const auto partition : partitions_fenced_by(state, compares)) {
+    for (const auto partition : fenced_partitions(state, compares)) {
       state.fence_due[partition.index] = 1;
       names.push_back(state.names.partitions.name(partition));
     }
@@ -50,10 +50,10 @@
   for (const auto& name : due) spdlog::warn("fence due partition={} reason=commit_unanswered", name);
 }
 
-asio::awaitable<void> WriteFences::move_due() {
+asio::awaitable<void> WriteFences::move_due_fences() {
   auto moves = state_.with([](ControllerState& state) {
     for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
-      // Under another leader's fencing token, what was written under ours fails by itself.
+      // Once another leader has a newer fencing token, the unanswered write fails by its own compares.
       if (!state.leads(core::PartitionId{p})) state.fence_due[p] = 0;
     }
     return plan_fence_moves(state);
--- a/src/assignments/write_fences.hpp
+++ b/src/assignments/write_fences.hpp
@@ -1,4 +1,4 @@
-// Fences make a write that got no answer fail if it should still arrive.
+// Fences make an unanswered write fail if it still arrives at the store later.
 #pragma once
 
 #include <vector>
@@ -12,32 +12,32 @@
 namespace asio = boost::asio;
 using controller::ControllerState;
 
-/// The move of one partition's fence.
+/// The transaction that moves one partition's fence.
 struct FenceMove {
   core::PartitionId partition;
   state::Transaction transaction;
 };
 
-/// Partitions whose fence one of the compares names.
-std::vector<core::PartitionId> partitions_fenced_by(const ControllerState& state,
-                                                    const std::vector<state::Compare>& compares);
-/// The fences that are due of the partitions that this controller leads. Each move is conditional on the
-/// fencing token alone, so that it succeeds whether the unanswered write was applied or not.
+/// Partitions whose fence is among the compares.
+std::vector<core::PartitionId> fenced_partitions(const ControllerState& state,
+                                                 const std::vector<state::Compare>& compares);
+/// The moves of the due fences of partitions that this controller leads. Each move compares only the fencing
+/// token, so that it succeeds whether or not the unanswered write was applied.
 std::vector<FenceMove> plan_fence_moves(const ControllerState& state);
 
-/// Every write of a leader compares its partition's fence. A commit without an answer may still be applied,
-/// at any later time, so nothing that it could upset (quota, ran_twice) is decided until the fence has moved:
-/// from then on it fails.
+/// Every write of a leader compares its partition's fence. An unanswered commit may still be applied at any
+/// later time, so no decision that it could invalidate (rules quota, ran_twice) is taken until the fence has
+/// moved; from then on the commit fails.
 class WriteFences {
  public:
   WriteFences(controller::SharedState& state, state::KeyValueStore& store,
               coordination::StateFollower& follower)
       : state_(state), store_(store), follower_(follower) {}
 
-  /// After a commit that got no answer: the fences that its compares name are due.
-  void require_new(const std::vector<state::Compare>& compares);
-  /// Moves the fences that are due. What can't be moved now stays due.
-  asio::awaitable<void> move_due();
+  /// Marks the fences among the compares of an unanswered commit as due.
+  void mark_due(const std::vector<state::Compare>& compares);
+  /// Moves the due fences. A fence that can't be moved now stays due.
+  asio::awaitable<void> move_due_fences();
 
  private:
   controller::SharedState& state_;
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -174,7 +174,7 @@
     auto& profile = job_classes[spec.job_class.index];
     profile.need = spec.need;
     profile.spot = spec.spot;
-    profile.types = spec.types;
+    profile.types = spec.allowed_types;
     unfinished[spec.job_class.index] += unfinished_tasks(cache, id);
   }
   for (std::size_t i = 0; i < job_classes.size(); ++i)
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -45,10 +45,10 @@
   spec.image = state.names.images.intern(submission.image);
   if (submission.zone) spec.zone = state.names.zones.intern(*submission.zone);
   if (submission.types) {
-    spec.types.emplace();
+    spec.allowed_types.emplace();
     for (const auto& name : *submission.types)
       if (const auto id = state.names.types.find(name); id && state.fleet.machine_type(*id))
-        spec.types->push_back(*id);
+        spec.allowed_types->push_back(*id);
   }
   spec.submitted_s = wall_s;
   record.ranges = sched::distribute(spec, scheduling::partition_capacities(state, spec, now));
@@ -91,10 +91,10 @@
   const sched::TeamQuota empty{{}, team->cpus_max, team->gpus_max};
   if (!empty.allows(spec.need * tasks_at_once)) return Impossible::over_team_limit;
   const bool spreads = spec.needs_all_tasks() && spec.spread && spec.tasks > 1;
-  if (spreads && spec.one_zone) return Impossible::one_zone_and_spread;
+  if (spreads && spec.single_zone) return Impossible::one_zone_and_spread;
   if (spreads && zones.size() < 2) return Impossible::no_second_zone;
-  if (spec.gang() &&
-      spec.tasks > assignments::AssignmentWriter::most_assignments(state.settings.state_limits))
+  if (spec.is_gang() &&
+      spec.tasks > assignments::AssignmentWriter::max_assignments(state.settings.state_limits))
     return Impossible::too_many_to_start_at_once;
   return std::nullopt;
 }
@@ -104,7 +104,7 @@
   if (state.find_job(submission.id)) return AlreadyKnown{};
   if (!state.loaded || state.fleet.machine_types.empty()) return NotReady{};
   if (const auto reason = why_never_runs(state, submission)) return NeverRuns{*reason};
-  if (submission.spec.standing() && !state.all_members_know(state::kStandingJobs))
+  if (submission.spec.is_service() && !state.all_members_know(state::kStandingJobs))
     return TooEarlyForUpgrade{};
 
   const auto record = make_record(state, submission, now, wall_s);
--- a/src/jobs/intervals.hpp
+++ b/src/jobs/intervals.hpp
@@ -1,4 +1,5 @@
-// A set of task numbers, kept as sorted half-open intervals: tasks mostly finish in order, so it stays short.
+// A set of task numbers, stored as sorted half-open intervals, which are few since tasks mostly finish in
+// order.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +16,7 @@
   void add(std::uint32_t from, std::uint32_t to) {
     if (from >= to) return;
     auto first = std::lower_bound(spans_.begin(), spans_.end(), from,
-                                  [](const Span& s, std::uint32_t v) { return s.second < v; });
+                                  [](const Span& span, std::uint32_t value) { return span.second < value; });
     auto last = first;
     while (last != spans_.end() && last->first <= to) {
       from = std::min(from, last->first);
@@ -25,19 +26,19 @@
     first = spans_.erase(first, last);
     spans_.insert(first, {from, to});
   }
-  [[nodiscard]] bool contains(std::uint32_t v) const {
-    auto it = std::upper_bound(spans_.begin(), spans_.end(), v,
-                               [](std::uint32_t x, const Span& s) { return x < s.second; });
-    return it != spans_.end() && it->first <= v;
+  [[nodiscard]] bool contains(std::uint32_t number) const {
+    auto it = std::upper_bound(spans_.begin(), spans_.end(), number,
+                               [](std::uint32_t value, const Span& span) { return value < span.second; });
+    return it != spans_.end() && it->first <= number;
   }
-  // How many numbers of [from, to) are in the set.
+  // The count of numbers of [from, to) in the set.
   [[nodiscard]] std::uint32_t count(std::uint32_t from, std::uint32_t to) const {
-    std::uint32_t n = 0;
-    for (const auto& [a, b] : spans_) {
-      const auto lo = std::max(a, from), hi = std::min(b, to);
-      if (lo < hi) n += hi - lo;
+    std::uint32_t total = 0;
+    for (const auto& [first, end] : spans_) {
+      const auto low = std::max(first, from), high = std::min(end, to);
+      if (low < high) total += high - low;
     }
-    return n;
+    return total;
   }
   [[nodiscard]] std::uint32_t size() const { return count(0, UINT32_MAX); }
   [[nodiscard]] const std::vector<Span>& spans() const { return spans_; }
--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -7,12 +7,12 @@
 namespace finchrun::jobs {
 namespace {
 
-std::uint64_t whole(const json::value& v) { return v.to_number<std::uint64_t>(); }
+std::uint64_t to_uint64(const json::value& value) { return value.to_number<std::uint64_t>(); }
 
-// Marks a standing job in its record, in the place of the expected run time. Earlier versions rewrite a
-// record with the fields they know and drop all others, so a field of its own would be lost when one of them
-// moves the job's ranges, and its replicas would be taken for tasks that end.
-constexpr double kStandingMark = -1;
+// Marks a service in its record, in place of the expected run time. Earlier releases rewrite a record with
+// the fields that they know. They would drop an additional field when they move the job's ranges, and
+// replicas would then count as tasks that end.
+constexpr double kServiceRunTimeMark = -1;
 
 constexpr std::pair<Priority, const char*> kPriorities[] = {{Priority::idle, "idle"},
                                                             {Priority::normal, "normal"},
@@ -21,26 +21,26 @@
 
 }  // namespace
 
-const char* name_of(Priority p) {
+const char* name_of(Priority priority) {
   for (const auto& [value, name] : kPriorities)
-    if (value == p) return name;
+    if (value == priority) return name;
   return "normal";
 }
 
-const char* name_of(Shape s) {
-  switch (s) {
+const char* name_of(Shape shape) {
+  switch (shape) {
     case Shape::gang:
       return "gang";
-    case Shape::standing:
+    case Shape::service:
       return "standing";
     default:
       return "array";
   }
 }
 
-std::optional<Priority> priority_from(std::string_view s) {
+std::optional<Priority> priority_from(std::string_view text) {
   for (const auto& [value, name] : kPriorities)
-    if (s == name) return value;
+    if (text == name) return value;
   return std::nullopt;
 }
 
@@ -48,7 +48,7 @@
   json::object stored;
   const JobSpec& spec = record.spec;
   if (record.status != Status::live) {
-    // Tasks that are not certainly gone still take room on machines and of the team's quota.
+    // Tasks that may still run take resources of machines and of the team's quota.
     stored["st"] = record.status == Status::done ? "done" : "cancelled";
     stored["n"] = spec.tasks;
     stored["team"] = names.teams.name(spec.team);
@@ -58,24 +58,24 @@
   stored["st"] = "live";
   stored["lane"] = names.job_classes.name(spec.job_class);
   stored["team"] = names.teams.name(spec.team);
-  stored["gang"] = spec.gang();
+  stored["gang"] = spec.is_gang();
   stored["pri"] = name_of(spec.priority);
   stored["n"] = spec.tasks;
   stored["need"] = json::array{spec.need.cpus, spec.need.gpus, spec.need.ram_gb};
   stored["img"] = names.images.name(spec.image);
   stored["gb"] = spec.image_gb;
-  if (spec.types) {
+  if (spec.allowed_types) {
     json::array types;
-    for (const auto type : *spec.types) types.emplace_back(names.types.name(type));
+    for (const auto type : *spec.allowed_types) types.emplace_back(names.types.name(type));
     stored["types"] = std::move(types);
   }
   if (spec.zone) stored["zone"] = names.zones.name(*spec.zone);
-  stored["onez"] = spec.one_zone;
+  stored["onez"] = spec.single_zone;
   stored["sprd"] = spec.spread;
   stored["spot"] = spec.spot;
-  stored["exp"] = spec.standing() ? kStandingMark : spec.expected_run_s;
-  stored["ckpt"] = spec.checkpoint_s;
-  stored["save"] = spec.save_s;
+  stored["exp"] = spec.is_service() ? kServiceRunTimeMark : spec.expected_run_s;
+  stored["ckpt"] = spec.checkpoint_interval_s;
+  stored["save"] = spec.checkpoint_save_s;
   if (spec.deadline_s) stored["due"] = *spec.deadline_s;
   stored["at"] = spec.submitted_s;
   json::array ranges;
@@ -90,7 +90,7 @@
   JobRecord record;
   const auto& status = stored.at("st").as_string();
   JobSpec& spec = record.spec;
-  spec.tasks = static_cast<std::uint32_t>(whole(stored.at("n")));
+  spec.tasks = static_cast<std::uint32_t>(to_uint64(stored.at("n")));
   spec.team = names.teams.intern(stored.at("team").as_string());
   const auto& need = stored.at("need").as_array();
   spec.need = {need.at(0).to_number<double>(), need.at(1).to_number<double>(),
@@ -105,34 +105,34 @@
   spec.image = names.images.intern(stored.at("img").as_string());
   spec.image_gb = stored.at("gb").to_number<double>();
   if (const auto* types = stored.if_contains("types")) {
-    spec.types.emplace();
-    for (const auto& type : types->as_array()) spec.types->push_back(names.types.intern(type.as_string()));
+    spec.allowed_types.emplace();
+    for (const auto& type : types->as_array())
+      spec.allowed_types->push_back(names.types.intern(type.as_string()));
   }
   if (const auto* zone = stored.if_contains("zone")) spec.zone = names.zones.intern(zone->as_string());
-  spec.one_zone = stored.at("onez").as_bool();
+  spec.single_zone = stored.at("onez").as_bool();
   spec.spread = stored.at("sprd").as_bool();
   spec.spot = stored.at("spot").as_bool();
   spec.expected_run_s = stored.at("exp").to_number<double>();
   if (spec.expected_run_s < 0) {
-    spec.shape = Shape::standing;
-    spec.expected_run_s = kNoEnd;
+    spec.shape = Shape::service;
+    spec.expected_run_s = kUnlimitedRunTimeS;
   }
-  spec.checkpoint_s = stored.at("ckpt").to_number<double>();
-  spec.save_s = stored.at("save").to_number<double>();
+  spec.checkpoint_interval_s = stored.at("ckpt").to_number<double>();
+  spec.checkpoint_save_s = stored.at("save").to_number<double>();
   if (const auto* due = stored.if_contains("due")) spec.deadline_s = due->to_number<double>();
   spec.submitted_s = stored.at("at").to_number<double>();
   for (const auto& item : stored.at("r").as_array()) {
     const auto& fields = item.as_array();
     const auto partition = names.partitions.find(fields.at(2).as_string());
     if (!partition) throw std::runtime_error("range of an unknown partition");
-    record.ranges.push_back({static_cast<std::uint32_t>(whole(fields.at(0))),
-                             static_cast<std::uint32_t>(whole(fields.at(1))), *partition});
+    record.ranges.push_back({static_cast<std::uint32_t>(to_uint64(fields.at(0))),
+                             static_cast<std::uint32_t>(to_uint64(fields.at(1))), *partition});
   }
   return record;
 }
 
-// Assignments are grouped by attempt and machine: those of a large array then fit the service's limit on
-// values.
+// Groups assignments by attempt and machine, so that those of a large array fit into the store's value limit.
 json::value to_json(const JobAssignments& run, const Names& names) {
   std::map<std::uint64_t, std::map<std::pair<core::MachineId, std::uint64_t>, json::array>> groups;
   for (const auto& assignment : run.assignments)
@@ -154,38 +154,39 @@
   JobAssignments run;
   for (const auto& item : stored.at("p").as_array()) {
     const auto& fields = item.as_array();
-    const auto attempt = whole(fields.at(0));
+    const auto attempt = to_uint64(fields.at(0));
     for (const auto& group : fields.at(1).as_array()) {
       const auto& group_fields = group.as_array();
       const auto machine = names.machines.intern(group_fields.at(0).as_string());
-      const auto agent_incarnation = whole(group_fields.at(1));
+      const auto agent_incarnation = to_uint64(group_fields.at(1));
       for (const auto& task : group_fields.at(2).as_array())
         run.assignments.push_back(
-            {static_cast<std::uint32_t>(whole(task)), attempt, machine, agent_incarnation});
+            {static_cast<std::uint32_t>(to_uint64(task)), attempt, machine, agent_incarnation});
     }
   }
   for (const auto& item : stored.at("d").as_array()) {
     const auto& fields = item.as_array();
-    run.done.add(static_cast<std::uint32_t>(whole(fields.at(0))),
-                 static_cast<std::uint32_t>(whole(fields.at(1))));
+    run.done.add(static_cast<std::uint32_t>(to_uint64(fields.at(0))),
+                 static_cast<std::uint32_t>(to_uint64(fields.at(1))));
   }
   return run;
 }
 
-std::size_t bytes_at_most(const JobAssignments& run, const Names& names) {
-  // Of the record's text: [12345,12346], for what is done; ["name",1234,[12345]], for a machine's first task,
-  // which leaves less than that behind when it ends; for each task more what it becomes then; [123456789,[]],
-  // for an attempt.
-  constexpr std::size_t kFrame = 48, kSpan = 14, kMachine = 20, kTaskMore = kSpan, kAttempt = 15;
-  std::size_t bytes = kFrame + kSpan * run.done.spans().size();
+std::size_t max_stored_bytes(const JobAssignments& run, const Names& names) {
+  // Bytes in the stored text. Each span of done tasks: [12345,12346]. Each machine with its first task:
+  // ["name",1234,[12345]], which is longer than the span that this task leaves when it ends. Each further
+  // task: the span that it leaves. Each attempt: [123456789,[]].
+  constexpr std::size_t kFrameBytes = 48, kSpanBytes = 14, kMachineBytes = 20,
+                        kAdditionalTaskBytes = kSpanBytes, kAttemptBytes = 15;
+  std::size_t bytes = kFrameBytes + kSpanBytes * run.done.spans().size();
   std::vector<std::pair<std::uint64_t, core::MachineId>> groups;
   groups.reserve(run.assignments.size());
   for (const auto& assignment : run.assignments) groups.emplace_back(assignment.attempt, assignment.machine);
   std::sort(groups.begin(), groups.end());
   for (std::size_t i = 0; i < groups.size(); ++i) {
-    if (i == 0 || groups[i].first != groups[i - 1].first) bytes += kAttempt;
+    if (i == 0 || groups[i].first != groups[i - 1].first) bytes += kAttemptBytes;
     const bool first = i == 0 || groups[i] != groups[i - 1];
-    bytes += first ? kMachine + names.machines.name(groups[i].second).size() : kTaskMore;
+    bytes += first ? kMachineBytes + names.machines.name(groups[i].second).size() : kAdditionalTaskBytes;
   }
   return bytes;
 }
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -1,4 +1,4 @@
-// A job, what is durable about it, and the form in which the key-value store keeps that.
+// Jobs, their durable records, and the format of these records in the key-value store.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace json = boost::json;
 
-// The one place where names become dense indices.
+// Maps names to dense indices, for the whole process.
 struct Names {
   core::Interner<core::TeamId> teams;
   core::Interner<core::ZoneId> zones;
@@ -32,15 +32,15 @@
 enum class Priority { idle = 0, normal = 1, high = 2, prod = 3 };
 
 enum class Shape {
-  array,     // independent tasks, each runs to completion
-  gang,      // all tasks run at the same time, or none does
-  standing,  // replicas that run until the job is cancelled; one that ends runs again
+  array,    // independent tasks, each of which runs to completion
+  gang,     // all tasks run at the same time, or none does
+  service,  // replicas that run until the job is cancelled; a replica that ends is restarted
 };
 
-// The expected run time of what has no end in sight.
-inline constexpr double kNoEnd = std::numeric_limits<double>::infinity();
+// The expected run time of tasks that run until they are cancelled.
+inline constexpr double kUnlimitedRunTimeS = std::numeric_limits<double>::infinity();
 
-/// A machine of this type may be used. `types`: those that a job allows; nothing: any.
+/// The job may use machines of this type. `types`: the types that it allows; empty optional: any.
 inline bool type_allowed(const std::optional<std::vector<core::MachineTypeId>>& types,
                          core::MachineTypeId type) {
   return !types || std::find(types->begin(), types->end(), type) != types->end();
@@ -55,47 +55,49 @@
   core::Resources need;
   core::ImageId image;
   double image_gb = 0;
-  std::optional<std::vector<core::MachineTypeId>> types;  // nothing: any
+  std::optional<std::vector<core::MachineTypeId>> allowed_types;  // empty optional: any
   std::optional<core::ZoneId> zone;
-  bool one_zone = false;
+  bool single_zone = false;
   bool spread = false;
   bool spot = false;
-  double expected_run_s = 0;  // its user's estimate of a task's run time; `kNoEnd` for a service
-  double checkpoint_s = 0;
-  double save_s = 0;
+  double expected_run_s = 0;  // the user's estimate of a task's run time; `kUnlimitedRunTimeS` for a service
+  double checkpoint_interval_s = 0;
+  double checkpoint_save_s = 0;
   std::optional<double> deadline_s;
   double submitted_s = 0;  // time of day
 
-  [[nodiscard]] bool gang() const { return shape == Shape::gang; }
-  [[nodiscard]] bool standing() const { return shape == Shape::standing; }
-  // All of its tasks have to run at the same time to be of full use.
+  [[nodiscard]] bool is_gang() const { return shape == Shape::gang; }
+  [[nodiscard]] bool is_service() const { return shape == Shape::service; }
+  // All tasks must run at the same time for the job to be fully useful.
   [[nodiscard]] bool needs_all_tasks() const { return shape != Shape::array; }
-  [[nodiscard]] bool allows_type(core::MachineTypeId t) const { return type_allowed(types, t); }
-  // Grace to give when the task is stopped, so that it can save: none if it can't.
-  [[nodiscard]] double stop_grace_s() const { return checkpoint_s > 0 ? save_s * 1.5 + 2 : 0; }
-  // `spread`: most of the tasks that may be in one zone.
-  [[nodiscard]] std::uint32_t zone_cap() const { return spread ? (tasks + 1) / 2 : tasks; }
+  [[nodiscard]] bool allows_type(core::MachineTypeId t) const { return type_allowed(allowed_types, t); }
+  // Grace period for a checkpoint when a task is stopped; 0 if the job has no checkpoints.
+  [[nodiscard]] double stop_grace_s() const {
+    return checkpoint_interval_s > 0 ? checkpoint_save_s * 1.5 + 2 : 0;
+  }
+  // The maximum number of tasks in one zone, as `spread` demands.
+  [[nodiscard]] std::uint32_t max_tasks_per_zone() const { return spread ? (tasks + 1) / 2 : tasks; }
 };
 
 enum class Status { live, done, cancelled };
 
-// Tasks [from, to) belong to a partition; whoever owns the partition owns them.
-struct Range {
+// Tasks [from, to) belong to the partition, and its leader schedules them.
+struct TaskRange {
   std::uint32_t from = 0, to = 0;
   core::PartitionId partition;
-  bool operator==(const Range&) const = default;
+  bool operator==(const TaskRange&) const = default;
 };
 
 // `jobs/<id>`
 struct JobRecord {
   Status status = Status::live;
-  JobSpec spec;               // once the job is over: only what display needs
-  std::vector<Range> ranges;  // sorted; empty once the job is over
+  JobSpec spec;                   // of a job that is not live: only the fields for status and quota
+  std::vector<TaskRange> ranges;  // sorted; empty if the job is not live
   std::uint64_t revision = 0;
 };
 
-// A task that may be on a machine: recorded before its start command leaves, removed only once it is
-// certainly gone.
+// A task that may be on a machine. Recorded before its start command is sent, and removed only once the task
+// is certainly gone from the machine.
 struct TaskAssignment {
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
@@ -104,8 +106,8 @@
   bool operator==(const TaskAssignment&) const = default;
 };
 
-// What one shard of a partition's records, `runs/<part>/<shard>`, holds of a job; written by the partition's
-// owner.
+// The part of a job in one shard of a partition's records, `runs/<part>/<shard>`. Written by the partition's
+// leader.
 struct JobAssignments {
   std::vector<TaskAssignment> assignments;
   Intervals done;
@@ -114,18 +116,18 @@
   bool operator==(const JobAssignments&) const = default;
 };
 
-json::value to_json(const JobRecord& r, const Names& names);
-json::value to_json(const JobAssignments& r, const Names& names);
-// Bytes that the record takes in its shard at most, however its tasks end.
-std::size_t bytes_at_most(const JobAssignments& r, const Names& names);
-// The same for one assignment more, on a machine that the record does not name yet.
-inline constexpr std::size_t kAssignmentBytes = 48;
-// These throw on records that make no sense: they are ours, so that is a bug or a newer version.
-JobRecord job_from_json(const json::value& v, Names& names);
-JobAssignments assignments_from_json(const json::value& v, Names& names);
-
-const char* name_of(Priority p);
-const char* name_of(Shape s);
-std::optional<Priority> priority_from(std::string_view s);
+json::value to_json(const JobRecord& record, const Names& names);
+json::value to_json(const JobAssignments& run, const Names& names);
+// Upper bound of the record's size in its shard, however its tasks end.
+std::size_t max_stored_bytes(const JobAssignments& run, const Names& names);
+// Upper bound for one more assignment, on a machine that the record does not name yet.
+inline constexpr std::size_t kMaxAssignmentBytes = 48;
+// Both throw on an invalid record: only controllers write records, so the cause is a bug or a newer release.
+JobRecord job_from_json(const json::value& value, Names& names);
+JobAssignments assignments_from_json(const json::value& value, Names& names);
+
+const char* name_of(Priority priority);
+const char* name_of(Shape shape);
+std::optional<Priority> priority_from(std::string_view text);
 
 }  // namespace finchrun::jobs
--- a/src/sched/distribute.cpp
+++ b/src/sched/distribute.cpp
@@ -59,8 +59,8 @@
     if (left_ > 0) shares_[partition] += left_;
     left_ = 0;
   }
-  [[nodiscard]] std::vector<jobs::Range> ranges() const {
-    std::vector<jobs::Range> ranges;
+  [[nodiscard]] std::vector<jobs::TaskRange> ranges() const {
+    std::vector<jobs::TaskRange> ranges;
     std::uint32_t from = 0;
     for (const auto& [partition, count] : shares_) {
       if (count == 0) continue;
@@ -81,15 +81,15 @@
   std::set<core::ZoneId> zones;
   for (const auto& partition : partitions) zones.insert(partition.zone);
   const auto count = static_cast<std::uint32_t>(zones.size());
-  return std::min(spec.zone_cap(), (spec.tasks + count - 1) / count);
+  return std::min(spec.max_tasks_per_zone(), (spec.tasks + count - 1) / count);
 }
 
 }  // namespace
 
-std::vector<jobs::Range> distribute(const jobs::JobSpec& spec,
+std::vector<jobs::TaskRange> distribute(const jobs::JobSpec& spec,
                                     const std::vector<PartitionCapacity>& all_partitions) {
   auto partitions = allowed_partitions(all_partitions);
-  if (spec.gang() || spec.one_zone) {
+  if (spec.is_gang() || spec.single_zone) {
     const auto best = std::max_element(partitions.begin(), partitions.end(),
                                        [&](const PartitionCapacity& a, const PartitionCapacity& b) {
                                          return suitability(a, spec.tasks) < suitability(b, spec.tasks);
@@ -102,9 +102,9 @@
               return suitability(a, spec.tasks) > suitability(b, spec.tasks);
             });
   TaskShares shares(spec.tasks);
-  const auto zone_cap = spec.zone_cap();
+  const auto zone_cap = spec.max_tasks_per_zone();
   // A zone that is lost should take no more replicas along than it must.
-  if (spec.standing() && spec.spread) {
+  if (spec.is_service() && spec.spread) {
     const auto even_cap = even_zone_cap(spec, partitions);
     for (const auto& partition : partitions) shares.give(partition, spare(partition), even_cap);
   }
--- a/src/sched/distribute.hpp
+++ b/src/sched/distribute.hpp
@@ -22,7 +22,7 @@
 /// The ranges of the job's tasks, sorted, without gaps: each task belongs to exactly one partition. A gang or
 /// a job for one zone goes to one partition as a whole. `partitions` must not be empty; if none of them is
 /// allowed, all count, so that the job waits somewhere.
-std::vector<jobs::Range> distribute(const jobs::JobSpec& spec,
+std::vector<jobs::TaskRange> distribute(const jobs::JobSpec& spec,
                                     const std::vector<PartitionCapacity>& partitions);
 
 }  // namespace finchrun::sched
--- a/src/sched/preempt.cpp
+++ b/src/sched/preempt.cpp
@@ -279,7 +279,7 @@
   };
   append(0);
   for (const auto i : running_here) {
-    if (running[i].remaining_s == jobs::kNoEnd) break;  // this room never comes free by itself
+    if (running[i].remaining_s == jobs::kUnlimitedRunTimeS) break;  // this room never comes free by itself
     free += running[i].need;
     append(running[i].remaining_s);
   }
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -70,7 +70,7 @@
   task.machine = machine;
   task.need = job->spec.need;
   task.priority = static_cast<int>(job->spec.priority);
-  task.gang = job->spec.gang();
+  task.gang = job->spec.is_gang();
   task.within = within_guarantee.contains(id);
   task.stop_cost_s = stop_cost_s(job->spec, ran);
   task.remaining_s = remaining_s(job->spec, ran);
@@ -119,7 +119,7 @@
     const auto* job = state.cache.job(placed.job);
     if (!job || job->status != jobs::Status::live) continue;
     if (!must_evict(termination_notice_s, job->spec, state.settings.report_s)) continue;
-    if (job->spec.gang()) {
+    if (job->spec.is_gang()) {
       gangs.insert(placed.job);
     } else {
       evict_gracefully(state, placed.job, placed.assignment);
@@ -130,8 +130,8 @@
 }  // namespace
 
 double stop_cost_s(const jobs::JobSpec& spec, double ran_s) {
-  const double lost_s = spec.standing()         ? kReplicaGapS
-                        : spec.checkpoint_s > 0 ? spec.save_s + kRestartCostS
+  const double lost_s = spec.is_service()         ? kReplicaGapS
+                        : spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s + kRestartCostS
                                                 : ran_s;
   return ran_s < kYoungTaskS ? lost_s + kYoungTaskCostS : lost_s;
 }
@@ -142,7 +142,7 @@
 }
 
 bool must_evict(double termination_notice_s, const jobs::JobSpec& spec, double heartbeat_s) {
-  return termination_notice_s <= spec.save_s + kHeartbeatsForStop * heartbeat_s + kStopSlackS;
+  return termination_notice_s <= spec.checkpoint_save_s + kHeartbeatsForStop * heartbeat_s + kStopSlackS;
 }
 
 std::vector<sched::RunningTask> running_tasks(const ControllerState& state, core::PartitionId partition,
--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -90,7 +90,7 @@
     const auto& name = state.names.partitions.name(partition);
     if (shares.grant_surplus(partition, shortage.used)) {
       changed = true;
-      transaction.log.push_back(fmt::format("quota granted team={} from={}", team_name, name));
+      transaction.log_lines.push_back(fmt::format("quota granted team={} from={}", team_name, name));
     }
     transaction.compares.push_back({state::keys::partition(name), state.fencing_token(partition)});
     transaction.compares.push_back({state::keys::fence(name), state.cache.fence(partition)});
@@ -148,9 +148,9 @@
     state::Transaction transaction{planned.compares, std::move(planned.writes)};
     const auto result = co_await follower_.commit(std::move(transaction));
     // Applied late, it would take away a share that is in use by then.
-    if (result.outcome == CommitStatus::unknown) recorder_.require_new_fences(planned.compares);
+    if (result.outcome == CommitStatus::unknown) recorder_.mark_fences_due(planned.compares);
     if (result.outcome != CommitStatus::done) continue;
-    for (const auto& line : planned.log) spdlog::info("{}", line);
+    for (const auto& line : planned.log_lines) spdlog::info("{}", line);
   }
 }
 
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -21,7 +21,7 @@
 };
 
 // Its tasks run in one partition, so that they can only move together.
-bool moves_as_a_whole(const jobs::JobSpec& spec) { return spec.gang() || spec.one_zone; }
+bool moves_as_a_whole(const jobs::JobSpec& spec) { return spec.is_gang() || spec.single_zone; }
 
 // How many tasks of the job that zone may still take, by the ranges of its partitions: a task has no
 // assignment but in the partition of its range, and one that moves has none at all, so what the ranges say
@@ -32,7 +32,7 @@
   for (const auto& range : job.ranges)
     if (state.partitions.zone(range.partition) == state.partitions.zone(partition))
       there += range.to - range.from;
-  const auto cap = job.spec.zone_cap();
+  const auto cap = job.spec.max_tasks_per_zone();
   return cap - std::min(cap, there);
 }
 
@@ -106,9 +106,9 @@
 
 }  // namespace
 
-std::vector<jobs::Range> move_tasks(const std::vector<jobs::Range>& ranges, core::PartitionId from,
+std::vector<jobs::TaskRange> move_tasks(const std::vector<jobs::TaskRange>& ranges, core::PartitionId from,
                                     core::PartitionId to, const std::set<std::uint32_t>& tasks) {
-  std::vector<jobs::Range> result;
+  std::vector<jobs::TaskRange> result;
   for (const auto& range : ranges) {
     const auto moves = [&](std::uint32_t task) { return range.partition == from && tasks.contains(task); };
     for (auto task = range.from; task < range.to;) {
--- a/src/scheduling/rebalancer.hpp
+++ b/src/scheduling/rebalancer.hpp
@@ -32,7 +32,7 @@
 
 /// The ranges with `tasks`, as far as they belong to `from`, given to `to`. Neighbours in one partition stay
 /// in one range; ranges of other partitions stay as they are.
-std::vector<jobs::Range> move_tasks(const std::vector<jobs::Range>& ranges, core::PartitionId from,
+std::vector<jobs::TaskRange> move_tasks(const std::vector<jobs::TaskRange>& ranges, core::PartitionId from,
                                     core::PartitionId to, const std::set<std::uint32_t>& tasks);
 
 /// Changes the task ranges of jobs in the backlog, one job a call: the load that a second move would be
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -202,7 +202,7 @@
     const auto* job = state.cache.job(placed.job);
     if (!job || job->status != jobs::Status::live) continue;
     if (!machine.holds(job->spec.image)) fetching.insert(job->spec.image);
-    if (job->spec.standing()) node.replicas.push_back(placed.job);
+    if (job->spec.is_service()) node.replicas.push_back(placed.job);
   }
   node.fetching = fetching.size();
   if (machine.cordoned_until > now) node.risk_s = kCordonedRiskS;
@@ -217,7 +217,7 @@
   const auto& job = *state.cache.job(id);
   // `together` of the job's request: while any task, of an old attempt too, may be in another zone, none may
   // start here.
-  if (job.spec.one_zone && runs_in_other_zone(state, id, partition)) return 0;
+  if (job.spec.single_zone && runs_in_other_zone(state, id, partition)) return 0;
   // `scatter` of the request: what other partitions of the zone may ever place counts too, so no two leaders
   // need to agree.
   std::uint32_t in_zone = 0;
@@ -228,7 +228,7 @@
   state.cache.each_run(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
     if (other == partition) in_zone += static_cast<std::uint32_t>(run.assignments.size());
   });
-  const auto cap = job.spec.zone_cap();
+  const auto cap = job.spec.max_tasks_per_zone();
   return cap - std::min(cap, in_zone);
 }
 
@@ -237,10 +237,10 @@
   const auto& job = *state.cache.job(id);
   const auto& spec = job.spec;
   // Until every task of its earlier attempt is gone, in whatever partition, a gang can't start again.
-  if (spec.gang() && state.cache.placed(id) > 0) return std::nullopt;
+  if (spec.is_gang() && state.cache.placed(id) > 0) return std::nullopt;
   sched::Demand demand;
-  demand.tasks = waiting.first(partition, spec.gang() ? spec.tasks : kMostTasksOfJob);
-  if (demand.tasks.empty() || (spec.gang() && demand.tasks.size() != spec.tasks)) return std::nullopt;
+  demand.tasks = waiting.first(partition, spec.is_gang() ? spec.tasks : kMostTasksOfJob);
+  if (demand.tasks.empty() || (spec.is_gang() && demand.tasks.size() != spec.tasks)) return std::nullopt;
   demand.count = waiting.count(partition);
   demand.job = id;
   demand.job_revision = job.revision;
@@ -251,10 +251,10 @@
   demand.need = spec.need;
   demand.expected_run_s = spec.expected_run_s;
   demand.priority = static_cast<int>(spec.priority);
-  demand.gang = spec.gang();
-  demand.standing = spec.standing();
+  demand.gang = spec.is_gang();
+  demand.standing = spec.is_service();
   demand.spot = spec.spot;
-  demand.types = spec.types;
+  demand.types = spec.allowed_types;
   demand.zone = spec.zone;
   demand.room_in_zone = room_in_zone(state, id, partition);
   return demand;
--- a/src/scheduling/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -16,7 +16,7 @@
 void WaitingTasks::mark_busy(const jobs::JobAssignments& run) {
   const auto tasks = job_->spec.tasks;
   // A replica that has ended runs again, whatever an earlier version may have recorded of it.
-  if (!job_->spec.standing())
+  if (!job_->spec.is_service())
     for (const auto& [from, to] : run.done.spans())
       std::fill(busy_.begin() + std::min(from, tasks), busy_.begin() + std::min(to, tasks), true);
   for (const auto& assignment : run.assignments)
--- a/src/state/assignment_table.cpp
+++ b/src/state/assignment_table.cpp
@@ -75,7 +75,7 @@
     const auto* effective = find(job, id);
     const auto current = effective ? *effective : jobs::JobAssignments{};
     const auto unreconciled = shard.unreconciled.find(job);
-    shard.bytes -= jobs::bytes_at_most(current, names_);
+    shard.bytes -= jobs::max_stored_bytes(current, names_);
     put(job, id, unreconciled != shard.unreconciled.end() ? unreconciled->second : current);
     changed.push_back(job);
   }
@@ -88,7 +88,7 @@
   const auto items = tombstones.find(id);
   auto effective = stored;
   const bool differs = items != tombstones.end() && state::apply_tombstones(effective, items->second);
-  shard.bytes += jobs::bytes_at_most(effective, names_);
+  shard.bytes += jobs::max_stored_bytes(effective, names_);
   replace(id, shard_id, std::move(effective));
   if (differs) {
     shard.unreconciled[id] = std::move(stored);
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -100,7 +100,7 @@
 
 std::uint32_t StateCache::done(core::JobId id) const {
   const auto* record = job(id);
-  return record && record->spec.standing() ? 0 : assignments_.done(id);
+  return record && record->spec.is_service() ? 0 : assignments_.done(id);
 }
 
 }  // namespace finchrun::state
--- a/src/wire/submission.cpp
+++ b/src/wire/submission.cpp
@@ -13,7 +13,7 @@
   const auto shape = text(message, field::kShape);
   if (shape == value::kArray) return jobs::Shape::array;
   if (shape == value::kGang) return jobs::Shape::gang;
-  if (shape == value::kService) return jobs::Shape::standing;
+  if (shape == value::kService) return jobs::Shape::service;
   throw_invalid(field::kShape);
 }
 
@@ -55,13 +55,13 @@
   submission.types = read_machine_types(message);
   if (const auto* zone = optional_field(message, field::kZone))
     submission.zone = text_of(*zone, field::kZone);
-  spec.one_zone = flag(message, field::kOneZone);
+  spec.single_zone = flag(message, field::kOneZone);
   spec.spread = flag(message, field::kSpread);
   spec.spot = flag(message, field::kSpot);
   spec.expected_run_s = amount(message, field::kExpectedRunS);
-  if (spec.standing()) spec.expected_run_s = jobs::kNoEnd;
-  spec.checkpoint_s = amount(message, field::kCheckpointS);
-  spec.save_s = amount(message, field::kSaveS);
+  if (spec.is_service()) spec.expected_run_s = jobs::kUnlimitedRunTimeS;
+  spec.checkpoint_interval_s = amount(message, field::kCheckpointS);
+  spec.checkpoint_save_s = amount(message, field::kSaveS);
   if (const auto* deadline = optional_field(message, field::kDeadlineS))
     spec.deadline_s = amount_of(*deadline, field::kDeadlineS);
   return submission;
--- a/tests/agent/heartbeat_handler_test.cpp
+++ b/tests/agent/heartbeat_handler_test.cpp
@@ -69,7 +69,7 @@
   for (const auto cause : {ExitCause::done, ExitCause::error, ExitCause::stopped}) {
     Bed b;
     auto r = *b.cache.job(core::JobId{0});
-    r.spec.shape = jobs::Shape::standing;
+    r.spec.shape = jobs::Shape::service;
     b.cache.apply({"jobs/req-1", jobs::to_json(r, b.names), 45});
     b.heartbeat(2, 1, 50, {{"req-1", 0, 7, TaskState::ended, cause, false}});
     ASSERT_EQ(b.fleet.observed_exits.size(), 1u);
--- a/tests/assignments/assignment_writer_test.cpp
+++ b/tests/assignments/assignment_writer_test.cpp
@@ -11,15 +11,16 @@
 using scheduling::WaitingTasks;
 namespace {
 
-// A round of many jobs once cost a write for each job, and most of it was never recorded.
-TEST(AssignmentWriter, ManyJobsCostFewWrites) {
+// Guards against one write per job: a round of many jobs then exceeds the write budget, and most of its
+// placements are never recorded.
+TEST(AssignmentWriter, RecordsManyJobsInFewWrites) {
   SinglePartition leader;
   std::vector<core::JobId> ids;
   for (int i = 0; i < 60; ++i) ids.push_back(leader.job("req-" + std::to_string(i), 4, false));
   AssignmentWriter writer(leader.state, leader.partition);
   for (const auto id : ids) ASSERT_TRUE(writer.add(id, leader.assignments(4, 9)));
   PlannedTransaction transaction;
-  writer.finish(transaction);
+  writer.write_to(transaction);
   EXPECT_LE(transaction.writes.size(), 4u);
   leader.apply(transaction);
   for (const auto id : ids) EXPECT_EQ(leader.state.cache.placed(id), 4u);
@@ -31,26 +32,26 @@
   bool gang;
 };
 class ShardSize : public testing::TestWithParam<SizeCase> {};
-// However large the job: no value above the store's limit, nothing lost, and its exits still fit.
-TEST_P(ShardSize, StaysWithinTheLimitOnValues) {
+// For jobs of all sizes, no value may exceed the store's limit, no task may be lost, and all exits must fit.
+TEST_P(ShardSize, StaysWithinValueLimit) {
   SinglePartition leader;
   const auto id = leader.job("req-1", GetParam().tasks, GetParam().gang);
   {
     AssignmentWriter writer(leader.state, leader.partition);
     ASSERT_TRUE(writer.add(id, leader.assignments(GetParam().tasks, 9)));
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     EXPECT_LE(largest_value(transaction), 8192u);
     leader.apply(transaction);
   }
   EXPECT_EQ(leader.state.cache.placed(id), GetParam().tasks);
-  // Every second task ends: the intervals of what is done are as many as can be.
+  // Every second task ends, which gives the maximum number of intervals of done tasks.
   for (std::uint32_t round = 0; round < 8; ++round) {
     AssignmentWriter writer(leader.state, leader.partition);
     for (std::uint32_t task = 0; task < GetParam().tasks; task += 2)
       writer.record_exit({id, leader.partition, task, 9, true});
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     EXPECT_LE(largest_value(transaction), 8192u);
     leader.apply(transaction);
   }
@@ -61,58 +62,58 @@
   EXPECT_EQ(leader.state.cache.placed(id), GetParam().tasks / 2);
 }
 INSTANTIATE_TEST_SUITE_P(Table, ShardSize,
-                         testing::Values(SizeCase{"one_task", 1, false},
-                                         SizeCase{"a_gang_of_sixteen", 16, true},
-                                         SizeCase{"an_array_of_250", 250, false},
-                                         SizeCase{"a_gang_of_500", 500, true}),
+                         testing::Values(SizeCase{"one_task", 1, false}, SizeCase{"gang_of_16", 16, true},
+                                         SizeCase{"array_of_250", 250, false},
+                                         SizeCase{"gang_of_500", 500, true}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(AssignmentWriter, FinishedJobsLeaveTheShardsThatAreWritten) {
+TEST(AssignmentWriter, DropsFinishedJobsFromWrittenShards) {
   SinglePartition leader;
   const auto over = leader.job("req-1", 1, false), live = leader.job("req-2", 1, false);
   {
     AssignmentWriter writer(leader.state, leader.partition);
     writer.add(over, leader.assignments(1, 9));
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     leader.apply(transaction);
   }
   {
     AssignmentWriter writer(leader.state, leader.partition);
     writer.record_exit({over, leader.partition, 0, 9, true});
-    EXPECT_EQ(writer.done(over), 1u);
+    EXPECT_EQ(writer.done_tasks(over), 1u);
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     leader.apply(transaction);
   }
-  leader.state.cache.apply({"jobs/req-1",
-                            jobs::to_json(finished(*leader.state.cache.job(over)), leader.state.names),
-                            ++leader.revision});
+  leader.state.cache.apply(
+      {"jobs/req-1", jobs::to_json(completed_record(*leader.state.cache.job(over)), leader.state.names),
+       ++leader.revision});
   AssignmentWriter writer(leader.state, leader.partition);
   writer.add(live, leader.assignments(1, 12));
   PlannedTransaction transaction;
-  writer.finish(transaction);
+  writer.write_to(transaction);
   leader.apply(transaction);
   EXPECT_TRUE(leader.state.cache.shard_assignments(over).empty());
   EXPECT_EQ(leader.state.cache.placed(live), 1u);
 }
 
-TEST(AssignmentWriter, IsConditionalOnFencingTokenFenceAndShards) {
+TEST(AssignmentWriter, ComparesFencingTokenFenceAndShards) {
   SinglePartition leader;
   const auto id = leader.job("req-1", 1, false);
   leader.state.cache.apply({"fence/a.0", boost::json::value(1), 44});
   AssignmentWriter writer(leader.state, leader.partition);
   writer.add(id, leader.assignments(1, 9));
   PlannedTransaction transaction;
-  writer.finish(transaction);
+  writer.write_to(transaction);
   std::map<std::string, std::uint64_t> compares;
   for (const auto& compare : transaction.compares) compares[compare.key] = compare.revision;
   EXPECT_EQ(compares,
             (std::map<std::string, std::uint64_t>{{"parts/a.0", 40}, {"fence/a.0", 44}, {"runs/a.0/0", 0}}));
 }
 
-// Exits that touch many shards: each was rewritten for them, which took most of the budget of writes.
-TEST(AssignmentWriter, ExitsAcrossAllShardsCostOneWrite) {
+// Guards against rewriting every shard with an exit: exits in many shards would use up most of the write
+// budget.
+TEST(AssignmentWriter, RecordsExitsOfAllShardsInOneWrite) {
   SinglePartition leader;
   std::vector<core::JobId> ids;
   for (int i = 0; i < 40; ++i) {
@@ -120,18 +121,18 @@
     AssignmentWriter writer(leader.state, leader.partition);
     ASSERT_TRUE(writer.add(ids.back(), leader.assignments(100, 9)));
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     leader.apply(transaction);
   }
   ASSERT_GT(leader.state.cache.shards(leader.partition).size(), 10u);
   AssignmentWriter writer(leader.state, leader.partition);
   for (const auto id : ids) EXPECT_TRUE(writer.record_exit({id, leader.partition, 7, 9, true}));
   EXPECT_TRUE(
-      writer.record_exit({ids[0], leader.partition, 8, 9, false}));  // seen as gone, and as done after all
+      writer.record_exit({ids[0], leader.partition, 8, 9, false}));  // first seen as lost, then as done
   EXPECT_TRUE(writer.record_exit({ids[0], leader.partition, 8, 9, true}));
-  EXPECT_EQ(writer.done(ids[0]), 2u);
+  EXPECT_EQ(writer.done_tasks(ids[0]), 2u);
   PlannedTransaction transaction;
-  writer.finish(transaction);
+  writer.write_to(transaction);
   ASSERT_EQ(transaction.writes.size(), 1u);
   EXPECT_EQ(transaction.writes[0].key, "ends/a.0");
   leader.apply(transaction);
@@ -144,20 +145,21 @@
 
 struct KeyOrderCase {
   const char* name;
-  bool shards_first;  // the order in which a reader sees the keys of one transaction
+  bool shards_first;  // a reader sees the shards of a transaction before its tombstones
 };
 class TombstoneKeyOrder : public testing::TestWithParam<KeyOrderCase> {};
-// A tombstone is dropped only together with the shard that named its task; else the task would be back, and
-// would be started once more.
-TEST_P(TombstoneKeyOrder, NoExitedTaskComesBack) {
+// A tombstone must leave the list only together with a write of its shard without the assignment. Otherwise
+// the assignment reappears, and the task is started a second time.
+TEST_P(TombstoneKeyOrder, ExitedTasksStayRemoved) {
   SinglePartition leader;
-  ControllerState reader(single_partition_settings(), {});  // another controller, fed by the changes alone
+  ControllerState reader(single_partition_settings(),
+                         {});  // another controller, which reads only the changes
   const auto id = leader.job("req-1", 300, false);
   std::vector<state::KeyUpdate> all{
       {"jobs/req-1", jobs::to_json(*leader.state.cache.job(id), leader.state.names), leader.revision}};
   const auto commit = [&](AssignmentWriter& writer) {
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     EXPECT_LE(largest_value(transaction), 8192u);
     leader.apply(transaction);
     if (!GetParam().shards_first) std::reverse(transaction.writes.begin(), transaction.writes.end());
@@ -168,8 +170,8 @@
     ASSERT_TRUE(writer.add(id, leader.assignments(300, 9)));
     commit(writer);
   }
-  // Many small writes, so that the tombstones outgrow their key and are taken into shards, some while new
-  // work is placed in them.
+  // Many small writes let the tombstones outgrow their key, so that they are applied to shards, in some of
+  // which new tasks are placed at the same time.
   const auto other = leader.job("req-2", 300, false);
   all.push_back(
       {"jobs/req-2", jobs::to_json(*leader.state.cache.job(other), leader.state.names), leader.revision});
@@ -200,14 +202,14 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 // A late write of the tombstone list must not undo a later one.
-TEST(AssignmentWriter, TombstonesAreConditionalOnTheirList) {
+TEST(AssignmentWriter, ComparesRevisionOfTombstoneList) {
   SinglePartition leader;
   const auto id = leader.job("req-1", 4, false);
   {
     AssignmentWriter writer(leader.state, leader.partition);
     writer.add(id, leader.assignments(4, 9));
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     leader.apply(transaction);
   }
   std::uint64_t seen = 0;
@@ -215,7 +217,7 @@
     AssignmentWriter writer(leader.state, leader.partition);
     writer.record_exit({id, leader.partition, t, 9, true});
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     const auto it = std::find_if(transaction.compares.begin(), transaction.compares.end(),
                                  [](const auto& compare) { return compare.key == "ends/a.0"; });
     ASSERT_NE(it, transaction.compares.end());
@@ -225,8 +227,8 @@
   }
 }
 
-// A scale case: what a heartbeat and a round's choice of room look at follows the machine, not the fleet.
-TEST(Scale, AMachineIsFoundAmongThousands) {
+// The cost of a heartbeat and of choosing a shard must grow with the tasks of a machine, not with the fleet.
+TEST(Scale, FindsAssignmentsByMachineAmongThousands) {
   SinglePartition leader;
   constexpr std::uint32_t kMachines = 2400;
   for (std::uint32_t i = 0; i < kMachines / 4; ++i) {
@@ -236,9 +238,10 @@
     for (std::uint32_t t = 0; t < 8; ++t)
       list.push_back({t, 9, leader.state.names.machines.intern("host-" + std::to_string(i * 4 + t / 2)), 1});
     ASSERT_TRUE(writer.add(id, list));
-    EXPECT_LE(writer.touched(), 1u) << "one job's placement touches one shard, however many there are";
+    EXPECT_LE(writer.written_key_count(), 1u)
+        << "one job's placement writes one shard, however many there are";
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     leader.apply(transaction);
   }
   std::size_t assignments = 0;
--- a/tests/assignments/production_reader.hpp
+++ b/tests/assignments/earlier_release_reader.hpp
@@ -1,16 +1,15 @@
-// Reads the records of what runs as the version in production does, so that what is written now can be
-// checked for what that version would make of it.
+// Reads assignment records as an earlier release does, to test that this release reads them correctly too.
 #pragma once
 
 #include "state/state_cache.hpp"
 
 namespace finchrun::assignments {
 
-/// Takes tombstones into a shard for good when they are read, or when the shard is. So what it makes of a
-/// transaction may depend on the order in which it reads the keys.
-class ProductionReader {
+/// Applies tombstones to a shard permanently, when it reads either of them. Its counts may therefore depend
+/// on the order in which it reads the keys of a transaction.
+class EarlierReleaseReader {
  public:
-  explicit ProductionReader(jobs::Names& names) : names_(names) {}
+  explicit EarlierReleaseReader(jobs::Names& names) : names_(names) {}
 
   void read(const state::KeyUpdate& update) {
     if (update.key.starts_with("runs/"))
--- a/tests/assignments/limits_test.cpp
+++ b/tests/assignments/limits_test.cpp
@@ -1,4 +1,4 @@
-// Records written under larger limits of the key-value store, and what is written under small ones.
+// Records that were written under larger limits of the key-value store, and writes under small limits.
 #include <gtest/gtest.h>
 
 #include "assignments/upgrade.hpp"
@@ -13,7 +13,7 @@
   const char* name;
   double value_kb;
   int writes;
-  std::uint32_t exited_each;  // one of so many tasks has exited when the limits are seen
+  std::uint32_t exited_each;  // one task in this many has exited when the limits change
 };
 class SmallLimits : public testing::TestWithParam<LimitCase> {
  protected:
@@ -21,7 +21,7 @@
     return {100, 20, GetParam().value_kb, GetParam().writes};
   }
   static constexpr std::uint32_t kTasks = 40;
-  // Twelve jobs, req-0 and so on, of which production has placed every task.
+  // Adds twelve jobs, req-0 and so on. The earlier release has placed all of their tasks.
   static void place_jobs(Upgrade& upgrade, std::vector<core::JobId>& ids) {
     for (int i = 0; i < 12; ++i) ids.push_back(upgrade.job("req-" + std::to_string(i), kTasks));
     for (const auto id : ids) {
@@ -31,18 +31,19 @@
     }
   }
   static void expect_within(const Upgrade& upgrade) {
-    EXPECT_LE(static_cast<double>(upgrade.largest), GetParam().value_kb * 1024);
+    EXPECT_LE(static_cast<double>(upgrade.largest_value_bytes), GetParam().value_kb * 1024);
     EXPECT_LE(upgrade.writes, static_cast<std::size_t>(GetParam().writes));
   }
 };
 
-// Nothing is lost or counted twice at any step, every write is within the limits, and in the end all is.
-TEST_P(SmallLimits, LargerShardsAreSplitStepByStep) {
+// Guards against tasks that are lost or counted twice when a shard is split, and against writes over the
+// limits. After the last step all records are within the limits.
+TEST_P(SmallLimits, SplitsLargerShardsStepByStep) {
   Upgrade upgrade(limits());
   std::vector<core::JobId> ids;
   ASSERT_NO_FATAL_FAILURE(place_jobs(upgrade, ids));
-  ASSERT_GT(static_cast<double>(upgrade.largest_shard), GetParam().value_kb * 1024)
-      << "else there is nothing to split";
+  ASSERT_GT(static_cast<double>(upgrade.largest_shard_bytes), GetParam().value_kb * 1024)
+      << "without a shard over the limit there is nothing to split";
   const auto each = GetParam().exited_each;
   for (const auto id : ids) {
     AssignmentWriter writer(upgrade.before.state, upgrade.before.partition);
@@ -65,10 +66,10 @@
   }
   EXPECT_GT(steps, 0);
   const AssignmentWriter last(upgrade.after.state, upgrade.after.partition);
-  EXPECT_FALSE(last.tombstones_too_long());
+  EXPECT_FALSE(last.tombstones_exceed_limit());
   for (const auto shard : upgrade.after.state.cache.shards(upgrade.after.partition))
-    EXPECT_TRUE(last.fits(shard));
-  // More of the same jobs is placed: what is done of them is not counted again, wherever that goes.
+    EXPECT_TRUE(last.is_within_limit(shard));
+  // Placing more tasks of the same jobs, in any shard, does not count their done tasks again.
   for (std::size_t i = 0; i < ids.size(); ++i) {
     auto more = upgrade.after.assignments(1, kAttempt + 1);
     more[0].task = kTasks;
@@ -82,12 +83,12 @@
     ASSERT_TRUE(writer.record_exit({id, upgrade.after.partition, kTasks, kAttempt + 1, false}));
     upgrade.commit(writer);
   }
-  // The rest exits too, and is recorded within the limits.
+  // The exits of all remaining tasks are recorded within the limits.
   for (std::uint32_t t = 0; t < kTasks; ++t)
     for (const auto id : ids) {
       AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
       ASSERT_TRUE(writer.record_exit({id, upgrade.after.partition, t, kAttempt, true}));
-      if (writer.touched() == 0) continue;
+      if (writer.written_key_count() == 0) continue;
       upgrade.commit(writer);
       expect_within(upgrade);
     }
@@ -95,10 +96,11 @@
     EXPECT_EQ(upgrade.done_and_placed("req-" + std::to_string(i)), std::pair(kTasks, 0u));
 }
 
-// While a controller of the version in production may still read the records, no step makes it count a task
-// as done twice, whichever key it reads first. Afterwards what is done may move.
-TEST_P(SmallLimits, TheVersionInProductionNeverCountsATaskTwice) {
-  auto settings = Upgrade::with(limits());
+// While a controller of an earlier release may read the records, no step may make it count a done task twice,
+// in whichever order it reads the keys. Once all controllers are upgraded, done tasks may move between
+// shards.
+TEST_P(SmallLimits, EarlierReleaseNeverCountsATaskTwice) {
+  auto settings = Upgrade::settings_with(limits());
   settings.members = {{"perch-1", "a", {}}};
   Upgrade upgrade(settings);
   const auto member = [&](const char* record) {
@@ -115,8 +117,8 @@
       upgrade.commit(writer);
       for (std::size_t i = 0; i < ids.size(); ++i) {
         const auto name = "req-" + std::to_string(i);
-        EXPECT_EQ(upgrade.shards_first.done(name), done) << name << " step " << steps;
-        EXPECT_EQ(upgrade.tombstones_first.done(name), done) << name << " step " << steps;
+        EXPECT_EQ(upgrade.shards_first_reader.done(name), done) << name << " step " << steps;
+        EXPECT_EQ(upgrade.tombstones_first_reader.done(name), done) << name << " step " << steps;
       }
     }
     return 200;
@@ -136,30 +138,30 @@
     upgrade.commit(writer);
   }
   const AssignmentWriter last(upgrade.after.state, upgrade.after.partition);
-  EXPECT_FALSE(last.tombstones_too_long());
+  EXPECT_FALSE(last.tombstones_exceed_limit());
   for (const auto shard : upgrade.after.state.cache.shards(upgrade.after.partition))
-    EXPECT_TRUE(last.fits(shard));
+    EXPECT_TRUE(last.is_within_limit(shard));
   for (std::size_t i = 0; i < ids.size(); ++i)
     EXPECT_EQ(upgrade.done_and_placed("req-" + std::to_string(i)), std::pair(done, kTasks - done));
 }
 
-// A placement is recorded as a whole or not at all, within the limits; a gang that is accepted can be
-// recorded.
-TEST_P(SmallLimits, ALargestGangIsRecordedAsAWhole) {
+// A gang of the largest accepted size must fit into one transaction: a placement is recorded entirely or not
+// at all, so a larger gang would never start.
+TEST_P(SmallLimits, RecordsLargestGangInOneTransaction) {
   Upgrade upgrade(limits());
-  const auto most = static_cast<std::uint32_t>(AssignmentWriter::most_assignments(limits()));
-  ASSERT_GE(most, 16u);
-  const auto small = upgrade.job("req-1", 5), gang = upgrade.job("req-2", most, true);
+  const auto max_assignments = static_cast<std::uint32_t>(AssignmentWriter::max_assignments(limits()));
+  ASSERT_GE(max_assignments, 16u);
+  const auto small = upgrade.job("req-1", 5), gang = upgrade.job("req-2", max_assignments, true);
   {
     AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
     ASSERT_TRUE(writer.add(small, upgrade.after.assignments(5, 8)));
     upgrade.commit(writer);
   }
   AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
-  ASSERT_TRUE(writer.add(gang, upgrade.after.assignments(most, 9)));
+  ASSERT_TRUE(writer.add(gang, upgrade.after.assignments(max_assignments, 9)));
   upgrade.commit(writer);
   expect_within(upgrade);
-  EXPECT_EQ(upgrade.done_and_placed("req-2"), std::pair(0u, most));
+  EXPECT_EQ(upgrade.done_and_placed("req-2"), std::pair(0u, max_assignments));
 }
 INSTANTIATE_TEST_SUITE_P(Table, SmallLimits,
                          testing::Values(LimitCase{"two_kb_five_writes", 2, 5, 3},
@@ -171,9 +173,9 @@
                                          LimitCase{"one_kb_sixteen_writes_few_exited", 1, 16, 20}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// More than one transaction can hold of 1 KiB values: it waits until enough of its tasks have exited,
-// which only the observed exits show meanwhile.
-TEST(SmallLimits, AShardTooLargeForOneTransactionWaitsForExits) {
+// The shard has more contents than one transaction of 1 KiB values can hold. Its split waits until enough
+// tasks have exited, and until then only the observed exits show them.
+TEST(SmallLimits, ShardTooLargeForOneTransactionWaitsForExits) {
   Upgrade upgrade({100, 20, 1, 4});
   const auto id = upgrade.job("req-1", 140);
   {
@@ -184,21 +186,21 @@
   {
     AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
     EXPECT_FALSE(writer.shrink());
-    EXPECT_EQ(writer.touched(), 0u);
+    EXPECT_EQ(writer.written_key_count(), 0u);
   }
   for (std::uint32_t t = 0; t < 140; ++t) {
     AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
     if (!writer.shrink()) writer.record_exit({id, upgrade.after.partition, t, kAttempt, true});
-    if (writer.touched() == 0) continue;
+    if (writer.written_key_count() == 0) continue;
     upgrade.commit(writer);
-    EXPECT_LE(upgrade.largest, 1024u);
+    EXPECT_LE(upgrade.largest_value_bytes, 1024u);
     EXPECT_LE(upgrade.writes, 4u);
   }
 }
 
-// A tombstone of a shard that was split before it could be taken out of the list changes nothing when read
-// again.
-TEST(SmallLimits, TombstonesThatStayBehindAreHarmlessAndThenDropped) {
+// A shard may be split before its tombstones can leave the list. Reading these tombstones again must not
+// change its counts.
+TEST(SmallLimits, RemainingTombstonesAreHarmlessAndDroppedLater) {
   Upgrade upgrade({100, 20, 2, 5});
   const auto id = upgrade.job("req-1", 100), other = upgrade.job("req-2", 100),
              third = upgrade.job("req-3", 100);
@@ -214,7 +216,7 @@
         writer.record_exit({job, upgrade.before.partition, t, kAttempt, true});
     upgrade.commit(writer);
   }
-  ASSERT_TRUE(AssignmentWriter(upgrade.after.state, upgrade.after.partition).tombstones_too_long());
+  ASSERT_TRUE(AssignmentWriter(upgrade.after.state, upgrade.after.partition).tombstones_exceed_limit());
   for (int step = 0; step < 20; ++step) {
     AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
     if (!writer.shrink()) break;
@@ -223,22 +225,22 @@
     EXPECT_EQ(upgrade.done_and_placed("req-2"), std::pair(49u, 51u));
   }
   AssignmentWriter writer(upgrade.after.state, upgrade.after.partition);
-  EXPECT_FALSE(writer.tombstones_too_long());
+  EXPECT_FALSE(writer.tombstones_exceed_limit());
   ASSERT_TRUE(writer.record_exit({id, upgrade.after.partition, 1, kAttempt, true}));
   upgrade.commit(writer);
-  EXPECT_LE(upgrade.largest, 2048u);
+  EXPECT_LE(upgrade.largest_value_bytes, 2048u);
   EXPECT_EQ(upgrade.done_and_placed("req-1"), std::pair(50u, 50u));
 }
 
-// A job has left a shard where tombstones that can't be rewritten yet still name it. More of it is placed
-// where there is room: not there, or the tombstones would be taken for its own once more.
-TEST(SmallLimits, AJobThatHasLeftAShardStaysAwayWhileTombstonesNameItThere) {
+// A job has left a shard, but the tombstone list, which can't be rewritten yet, still names it there. New
+// assignments must go elsewhere, or the tombstones would be applied to the job a second time.
+TEST(SmallLimits, JobDoesNotReturnToShardWhoseTombstonesNameIt) {
   Upgrade upgrade({100, 20, 2, 5});
   auto& state = upgrade.after.state;
   const auto left = upgrade.job("req-1", 400);
   upgrade.job("req-2", 400);
-  // Shard 0 is empty; what is done of req-1 fills shard 1; shard 2 needs tombstones that are too long for
-  // one value.
+  // Shard 0 is empty. The done tasks of req-1 fill shard 1. Shard 2 needs tombstones that exceed the value
+  // limit.
   boost::json::array done, placed, tombstones;
   for (std::uint32_t t = 0; t < 300; t += 2) done.push_back(boost::json::array{t, t + 1});
   for (std::uint32_t t = 0; t < 400; t += 2) {
@@ -260,13 +262,13 @@
                             {"2", Object{{"req-2", tombstones}}}},
                      300});
   AssignmentWriter writer(state, upgrade.after.partition);
-  ASSERT_TRUE(writer.tombstones_too_long());
+  ASSERT_TRUE(writer.tombstones_exceed_limit());
   ASSERT_EQ(state.cache.done(left), 150u);
   auto more = upgrade.after.assignments(1, kAttempt);
   more[0].task = 399;
   ASSERT_TRUE(writer.add(left, more));
   PlannedTransaction transaction;
-  writer.finish(transaction);
+  writer.write_to(transaction);
   for (const auto& write : transaction.writes) state.cache.apply({write.key, write.value, 301});
   EXPECT_EQ(state.cache.done(left), 150u);
   EXPECT_EQ(state.cache.placed(left), 1u);
--- a/tests/assignments/open_shards_test.cpp
+++ b/tests/assignments/open_shards_test.cpp
@@ -9,9 +9,9 @@
 namespace finchrun::assignments {
 namespace {
 
-constexpr std::size_t kSomeBytes = 100;
+constexpr std::size_t kJobBytes = 100;
 
-// Shards "0", "1" and "2", each with four tasks of a job of its own.
+// Shards "0", "1" and "2", each with four tasks of its own job.
 class OpenShardsTest : public testing::Test {
  protected:
   OpenShardsTest() {
@@ -32,49 +32,49 @@
   std::vector<core::JobId> jobs;
 };
 
-TEST_F(OpenShardsTest, RoomIsFoundFirstWhereTheJobIsWrittenAnyway) {
+TEST_F(OpenShardsTest, PrefersOpenShardOfTheJob) {
   PlannedTombstones tombstones(leader.state, leader.partition);
   OpenShards shards(leader.state, leader.partition, tombstones, 3);
   shards.open("0");
   auto* of_job = shards.open("1");
-  EXPECT_EQ(shards.with_room(jobs[1], kSomeBytes), of_job);
-  EXPECT_EQ(shards.with_room(jobs[2], kSomeBytes), shards.find("0")) << "no shard more than needed is opened";
+  EXPECT_EQ(shards.open_with_room(jobs[1], kJobBytes), of_job);
+  EXPECT_EQ(shards.open_with_room(jobs[2], kJobBytes), shards.find("0")) << "no further shard is opened";
   EXPECT_EQ(shards.size(), 2u);
 }
 
-TEST_F(OpenShardsTest, TheShardWithMostTombstonesIsOpenedAndTakesThemIn) {
+TEST_F(OpenShardsTest, OpensShardWithMostTombstonesAndAppliesThem) {
   PlannedTombstones tombstones(leader.state, leader.partition);
   tombstones.add("1", jobs[1], {2, 9, {2, 3}});
   OpenShards shards(leader.state, leader.partition, tombstones, 3);
-  const auto* opened = shards.with_room(jobs[0], kSomeBytes);
+  const auto* opened = shards.open_with_room(jobs[0], kJobBytes);
   ASSERT_EQ(opened, shards.find("1"));
   EXPECT_EQ(opened->jobs.at(jobs[1]).assignments.size(), 3u);
-  EXPECT_EQ(shards.done(jobs[1]), 1u);
-  EXPECT_EQ(tombstones.count("1"), 0u) << "they leave the list with the shard's write";
+  EXPECT_EQ(shards.done_tasks(jobs[1]), 1u);
+  EXPECT_EQ(tombstones.count("1"), 0u) << "writing the shard removes them from the list";
 }
 
-TEST_F(OpenShardsTest, NoMoreAreOpenedThanAllowed) {
+TEST_F(OpenShardsTest, OpensNoMoreShardsThanAllowed) {
   PlannedTombstones tombstones(leader.state, leader.partition);
   OpenShards shards(leader.state, leader.partition, tombstones, 1);
   ASSERT_TRUE(shards.open("0"));
   EXPECT_FALSE(shards.open("1"));
-  EXPECT_FALSE(shards.with_room(jobs[1], leader.state.settings.state_limits.value_bytes()));
+  EXPECT_FALSE(shards.open_with_room(jobs[1], leader.state.settings.state_limits.value_bytes()));
   EXPECT_TRUE(shards.open("0")) << "it is open already";
 }
 
-TEST_F(OpenShardsTest, ANewShardGetsTheFirstUnusedName) {
+TEST_F(OpenShardsTest, NewShardGetsFirstUnusedName) {
   PlannedTombstones tombstones(leader.state, leader.partition);
   OpenShards shards(leader.state, leader.partition, tombstones, 3);
-  ASSERT_TRUE(shards.with_room(jobs[0], leader.state.settings.state_limits.value_bytes()));
+  ASSERT_TRUE(shards.open_with_room(jobs[0], leader.state.settings.state_limits.value_bytes()));
   EXPECT_TRUE(shards.contains("3"));
   PlannedTransaction transaction;
   shards.write_to(transaction);
   ASSERT_EQ(transaction.compares.size(), 1u);
   EXPECT_EQ(transaction.compares[0].key, "runs/a.0/3");
-  EXPECT_EQ(transaction.compares[0].revision, 0u) << "nobody else has made it meanwhile";
+  EXPECT_EQ(transaction.compares[0].revision, 0u) << "the shard must not exist yet";
 }
 
-TEST_F(OpenShardsTest, AFinishedJobWithoutAssignmentsIsLeftOut) {
+TEST_F(OpenShardsTest, OmitsFinishedJobsWithoutAssignments) {
   jobs::JobAssignments all_done;
   all_done.done.add(0, 4);
   PlannedTransaction transaction;
@@ -83,8 +83,8 @@
   const auto shard = *leader.state.cache.find_shard(leader.partition, "0");
   PlannedTombstones tombstones(leader.state, leader.partition);
   const OpenShards shards(leader.state, leader.partition, tombstones, 1);
-  EXPECT_TRUE(shards.contents(shard).contains(jobs[0])) << "live: what is done of it still counts";
-  const auto record = finished(*leader.state.cache.job(jobs[0]));
+  EXPECT_TRUE(shards.contents(shard).contains(jobs[0])) << "done tasks of a live job still count";
+  const auto record = completed_record(*leader.state.cache.job(jobs[0]));
   leader.state.cache.apply({"jobs/req-0", jobs::to_json(record, leader.state.names), ++leader.revision});
   EXPECT_FALSE(shards.contents(shard).contains(jobs[0]));
 }
@@ -93,11 +93,11 @@
   const char* name;
   double value_kb;
   std::size_t max_writes;
-  std::size_t expected_shards;  // that the step writes; 0: there is no step
+  std::size_t expected_shards;  // written by the step; 0: no step is possible
 };
 class ShardShrinkerTest : public testing::TestWithParam<ShrinkCase> {};
 // One shard with 80 assignments, written when values could be 8 KiB.
-TEST_P(ShardShrinkerTest, SplitsAShardOverTheLimitIfOneTransactionCan) {
+TEST_P(ShardShrinkerTest, SplitsShardOverLimitIfOneTransactionSuffices) {
   SinglePartition before;
   auto settings = single_partition_settings();
   settings.state_limits = {100, 20, GetParam().value_kb, static_cast<int>(GetParam().max_writes)};
@@ -107,7 +107,7 @@
   PlannedTransaction written;
   AssignmentWriter writer(before.state, before.partition);
   ASSERT_TRUE(writer.add(job, before.assignments(80, 9)));
-  writer.finish(written);
+  writer.write_to(written);
   after.apply(written);
   PlannedTombstones tombstones(after.state, after.partition);
   OpenShards shards(after.state, after.partition, tombstones, GetParam().max_writes - 1);
--- a/tests/assignments/planned_tombstones_test.cpp
+++ b/tests/assignments/planned_tombstones_test.cpp
@@ -9,12 +9,12 @@
 
 struct TombstoneCase {
   const char* name;
-  std::optional<jobs::Shape> shape;  // nothing: the job's record is not known
+  std::optional<jobs::Shape> shape;  // empty: the job's record is unknown
   bool done;
   jobs::Intervals::Span expected;
 };
 class TombstoneOf : public testing::TestWithParam<TombstoneCase> {};
-TEST_P(TombstoneOf, MarksWhatTheExitCompletes) {
+TEST_P(TombstoneOf, MarksTasksDoneByTheExit) {
   jobs::JobRecord job;
   job.spec.tasks = 16;
   if (GetParam().shape) job.spec.shape = *GetParam().shape;
@@ -24,26 +24,26 @@
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, TombstoneOf,
-    testing::Values(TombstoneCase{"task_of_an_array_done", jobs::Shape::array, true, {3, 4}},
-                    TombstoneCase{"task_of_an_array_lost", jobs::Shape::array, false, {0, 0}},
-                    TombstoneCase{"gang_done_as_a_whole", jobs::Shape::gang, true, {0, 16}},
-                    TombstoneCase{"gang_lost", jobs::Shape::gang, false, {0, 0}},
-                    TombstoneCase{"replica_of_a_service_is_never_done", jobs::Shape::standing, true, {0, 0}},
+    testing::Values(TombstoneCase{"done_task_of_array", jobs::Shape::array, true, {3, 4}},
+                    TombstoneCase{"lost_task_of_array", jobs::Shape::array, false, {0, 0}},
+                    TombstoneCase{"done_gang_as_a_whole", jobs::Shape::gang, true, {0, 16}},
+                    TombstoneCase{"lost_gang", jobs::Shape::gang, false, {0, 0}},
+                    TombstoneCase{"replica_of_a_service_is_never_done", jobs::Shape::service, true, {0, 0}},
                     TombstoneCase{"unknown_job", std::nullopt, true, {3, 4}}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(PlannedTombstones, CountsWhatStandsInTheListAndForgetsWhatIsDropped) {
+TEST(PlannedTombstones, CountsAddedAndDroppedTombstones) {
   SinglePartition leader;
   const auto first = leader.job("req-1", 100, false), second = leader.job("req-2", 100, false);
   PlannedTombstones tombstones(leader.state, leader.partition);
-  EXPECT_EQ(tombstones.longest(), std::nullopt);
+  EXPECT_EQ(tombstones.shard_with_most_tombstones(), std::nullopt);
   tombstones.add("0", first, {7, 9, {7, 8}});
   const auto bytes_of_shard_0 = tombstones.bytes();
   tombstones.add("1", first, {8, 9, {8, 9}});
   tombstones.add("1", second, {8, 9, {0, 0}});
   EXPECT_EQ(tombstones.count("0"), 1u);
   EXPECT_EQ(tombstones.count("1"), 2u);
-  EXPECT_EQ(tombstones.longest(), "1");
+  EXPECT_EQ(tombstones.shard_with_most_tombstones(), "1");
   PlannedTransaction transaction;
   tombstones.write_to(transaction);
   EXPECT_GE(tombstones.bytes(), largest_value(transaction)) << "the estimate is an upper bound";
@@ -54,7 +54,7 @@
   EXPECT_TRUE(tombstones.changed());
 }
 
-TEST(PlannedTombstones, AreTakenIntoTheirShardAndJobOnly) {
+TEST(PlannedTombstones, ApplyOnlyToTheirShardAndJob) {
   SinglePartition leader;
   const auto job = leader.job("req-1", 4, false), other = leader.job("req-2", 4, false);
   PlannedTombstones tombstones(leader.state, leader.partition);
@@ -70,7 +70,7 @@
   EXPECT_EQ(of_other_job, placed);
 }
 
-TEST(PlannedTombstones, HaveRoomUpToTheLimitOnValues) {
+TEST(PlannedTombstones, HaveRoomUpToValueLimit) {
   auto settings = single_partition_settings();
   settings.state_limits = {100, 20, 1, 5};
   SinglePartition leader(settings);
@@ -82,10 +82,10 @@
   EXPECT_GT(task, 20u);
   EXPECT_LT(task, 200u);
   EXPECT_LE(tombstones.bytes(), 1024u);
-  EXPECT_FALSE(tombstones.too_long());
+  EXPECT_FALSE(tombstones.exceeds_limit());
 }
 
-TEST(PlannedTombstones, AreNotWrittenUnchanged) {
+TEST(PlannedTombstones, AreNotWrittenIfUnchanged) {
   SinglePartition leader;
   PlannedTransaction transaction;
   PlannedTombstones(leader.state, leader.partition).write_to(transaction);
@@ -95,9 +95,9 @@
 
 TEST(PlannedTransaction, ComparesEachKeyOnce) {
   PlannedTransaction transaction;
-  transaction.require("parts/a.0", 40);
-  transaction.require("fence/a.0", 0);
-  transaction.require("parts/a.0", 40);
+  transaction.require_revision("parts/a.0", 40);
+  transaction.require_revision("fence/a.0", 0);
+  transaction.require_revision("parts/a.0", 40);
   EXPECT_EQ(transaction.compares.size(), 2u);
 }
 
--- a/tests/assignments/record_history_test.cpp
+++ b/tests/assignments/record_history_test.cpp
@@ -1,5 +1,5 @@
-// Random histories of one partition's records across an upgrade: whatever is written, every reader counts
-// each task once.
+// Random histories of one partition's records across an upgrade: every reader must count each task once after
+// every write.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -13,19 +13,19 @@
 struct HistoryCase {
   double value_kb;
   int writes;
-  bool production_listed;  // a controller of the version in production may read what is written
+  bool earlier_release_listed;  // a controller of an earlier release may read the records
 };
 
-// The tasks of one partition's jobs, and what has become of them.
+// The expected states of all tasks of one partition's jobs, and the random operations on them.
 class History {
  public:
   History(const HistoryCase& limits, std::uint32_t seed)
-      : upgrade_(settings(limits)), listed_(limits.production_listed), random_(seed) {
-    if (listed_)
+      : upgrade_(settings(limits)), earlier_release_listed_(limits.earlier_release_listed), random_(seed) {
+    if (earlier_release_listed_)
       upgrade_.after.state.cache.apply(
           {"members/perch-1", boost::json::parse(R"({"inc":3})"), ++upgrade_.revision});
   }
-  // What production does before the upgrade, under the limits of then.
+  // Operations of the earlier release, under the larger limits.
   void before_upgrade() {
     for (int i = 0; i < 80; ++i) add_job();
     for (int i = 0; i < 25; ++i) {
@@ -34,7 +34,7 @@
       check("before");
     }
   }
-  // What the new version does, a step of shrinking between any two other writes.
+  // Operations of this release, with a step of shrinking between any two other writes.
   void after_upgrade() {
     for (int i = 0; i < 60; ++i) {
       AssignmentWriter writer(upgrade_.after.state, upgrade_.after.partition);
@@ -55,8 +55,8 @@
   };
 
   static config::Settings settings(const HistoryCase& limits) {
-    auto settings = Upgrade::with({100, 20, limits.value_kb, limits.writes});
-    if (limits.production_listed) settings.members = {{"perch-1", "a", {}}};
+    auto settings = Upgrade::settings_with({100, 20, limits.value_kb, limits.writes});
+    if (limits.earlier_release_listed) settings.members = {{"perch-1", "a", {}}};
     return settings;
   }
   std::uint32_t draw(std::uint32_t below) { return static_cast<std::uint32_t>(random_() % below); }
@@ -81,12 +81,12 @@
         job.placed[assignment.task] = attempt;
       }
     }
-    if (writer.touched() > 0) upgrade_.commit(writer);
+    if (writer.written_key_count() > 0) upgrade_.commit(writer);
   }
   static core::MachineId machine(SinglePartition& leader, std::uint32_t number) {
     return leader.state.names.machines.intern("host-" + std::to_string(100000 + number));
   }
-  // One in four is lost and waits again.
+  // Ends a random twelfth of the placed tasks. One in five of these is lost and waits again.
   void exit_some(SinglePartition& leader) {
     AssignmentWriter writer(leader.state, leader.partition);
     for (auto& job : jobs_)
@@ -101,7 +101,7 @@
         (done ? job.done : job.waiting).insert(task);
         it = job.placed.erase(it);
       }
-    if (writer.touched() > 0) upgrade_.commit(writer);
+    if (writer.written_key_count() > 0) upgrade_.commit(writer);
   }
   void check(const char* step) {
     const auto reader = upgrade_.fresh_reader();
@@ -113,14 +113,14 @@
       const auto id = *upgrade_.after.state.names.jobs.find(job.name);
       EXPECT_EQ(upgrade_.after.state.cache.done(id), done) << job.name << " " << step;
       EXPECT_EQ(upgrade_.after.state.cache.placed(id), placed) << job.name << " " << step;
-      if (!listed_) continue;
-      EXPECT_EQ(upgrade_.shards_first.done(job.name), done) << job.name << " " << step;
-      EXPECT_EQ(upgrade_.tombstones_first.done(job.name), done) << job.name << " " << step;
+      if (!earlier_release_listed_) continue;
+      EXPECT_EQ(upgrade_.shards_first_reader.done(job.name), done) << job.name << " " << step;
+      EXPECT_EQ(upgrade_.tombstones_first_reader.done(job.name), done) << job.name << " " << step;
     }
   }
 
   Upgrade upgrade_;
-  bool listed_;
+  bool earlier_release_listed_;
   std::mt19937 random_;
   std::vector<Job> jobs_;
   std::uint64_t attempt_ = 1234567;
@@ -140,9 +140,10 @@
                                           testing::Range(1u, 5u)),
                          [](const auto& info) {
                            const HistoryCase& limits = std::get<0>(info.param);
-                           return fmt::format("{:.0f}_kb_{}_{}", limits.value_kb,
-                                              limits.production_listed ? "listed" : "new",
-                                              std::get<1>(info.param));
+                           return fmt::format(
+                               "{:.0f}_kb_{}_seed_{}", limits.value_kb,
+                               limits.earlier_release_listed ? "earlier_release_listed" : "all_upgraded",
+                               std::get<1>(info.param));
                          });
 
 }  // namespace
--- a/tests/assignments/recorder_plans_test.cpp
+++ b/tests/assignments/recorder_plans_test.cpp
@@ -1,4 +1,4 @@
-// What the recorders of exits and placements decide, from a snapshot and without I/O.
+// The plans of the exit recorder and the placement recorder, from a snapshot and without I/O.
 #include <gtest/gtest.h>
 
 #include "assignments/commit_refusal.hpp"
@@ -26,19 +26,19 @@
   std::vector<std::string> keys;
 };
 class PlanExits : public testing::TestWithParam<ExitCase> {};
-TEST_P(PlanExits, RecordsExitsAndTheJobsThatTheyComplete) {
+TEST_P(PlanExits, RecordsExitsAndCompletedJobs) {
   SinglePartition leader;
   const auto job = leader.job("req-1", 2, GetParam().shape);
   AssignmentWriter writer(leader.state, leader.partition);
   ASSERT_TRUE(writer.add(job, leader.assignments(2, kAttempt)));
   PlannedTransaction placed;
-  writer.finish(placed);
+  writer.write_to(placed);
   leader.apply(placed);
   for (std::uint32_t task = 0; task < GetParam().exited; ++task)
     leader.state.fleet.observed_exits.insert({job, leader.partition, task, kAttempt, true});
-  const auto transaction = plan_next(leader.state, leader.partition);
+  const auto transaction = plan_next_transaction(leader.state, leader.partition);
   EXPECT_EQ(written_keys(transaction), GetParam().keys);
-  EXPECT_EQ(transaction.log.size(), GetParam().keys.size() > 1 ? 1u : 0u);
+  EXPECT_EQ(transaction.log_lines.size(), GetParam().keys.size() > 1 ? 1u : 0u);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, PlanExits,
@@ -46,7 +46,7 @@
                     ExitCase{"one_task_of_two", jobs::Shape::array, 1, {"ends/a.0"}},
                     ExitCase{"both_tasks", jobs::Shape::array, 2, {"ends/a.0", "jobs/req-1"}},
                     ExitCase{"gang_completes_with_one", jobs::Shape::gang, 1, {"ends/a.0", "jobs/req-1"}},
-                    ExitCase{"service_never_completes", jobs::Shape::standing, 2, {"ends/a.0"}}),
+                    ExitCase{"service_never_completes", jobs::Shape::service, 2, {"ends/a.0"}}),
     [](const auto& info) { return std::string(info.param.name); });
 
 class PlanPlacements : public testing::Test {
@@ -67,7 +67,7 @@
   core::JobId job;
 };
 
-TEST_F(PlanPlacements, StartsFollowADurableTransactionThatComparesWhatWasDecidedFrom) {
+TEST_F(PlanPlacements, ComparesRecordsOfTheDecisionAndListsStarts) {
   const auto batch = plan({placement(0), placement(1)});
   EXPECT_EQ(batch.next, 2u);
   EXPECT_EQ(batch.partition, "a.0");
@@ -79,12 +79,12 @@
   ASSERT_EQ(batch.transaction.starts.size(), 1u);
   EXPECT_EQ(batch.transaction.starts.begin()->second,
             (std::vector<agent::TaskAttempt>{{job, 0, kAttempt}, {job, 1, kAttempt}}));
-  EXPECT_EQ(batch.transaction.log[0],
+  EXPECT_EQ(batch.transaction.log_lines[0],
             "task placed job=req-1 task=0 attempt=9 machine=host-100000 partition=a.0 fencing_token=40 "
             "weight=0.500 image=img image_cached=false");
 }
 
-TEST_F(PlanPlacements, WhatWasDecidedOnOldRecordsIsPassedOver) {
+TEST_F(PlanPlacements, SkipsPlacementsDecidedOnStaleRecords) {
   auto other_token = placement(0), other_record = placement(0);
   other_token.fencing_token = kFencingToken - 1;
   --other_record.job_revision;
@@ -94,20 +94,20 @@
     EXPECT_TRUE(batch.transaction.writes.empty());
   }
   const auto mixed = plan({other_record, placement(1)});
-  EXPECT_EQ(mixed.transaction.starts.size(), 1u) << "the others go on";
+  EXPECT_EQ(mixed.transaction.starts.size(), 1u) << "the other placement is not affected";
 }
 
-TEST_F(PlanPlacements, NothingIsPlacedOnAMachineThatGoesAway) {
+TEST_F(PlanPlacements, SkipsGoneOrTerminatingMachines) {
   auto& machine = leader.state.fleet.intern(leader.state.names, "host-100000");
-  for (auto* goes_away : {&machine.gone, &machine.terminating}) {
-    *goes_away = true;
+  for (auto* flag : {&machine.gone, &machine.terminating}) {
+    *flag = true;
     EXPECT_TRUE(plan({placement(0)}).transaction.starts.empty());
-    *goes_away = false;
+    *flag = false;
   }
   EXPECT_FALSE(plan({placement(0)}).transaction.starts.empty());
 }
 
-TEST_F(PlanPlacements, TheExitThatLeftTheRoomIsRecordedWithThem) {
+TEST_F(PlanPlacements, RecordsExitThatFreedTheCapacity) {
   leader.apply(plan({placement(0)}).transaction);
   leader.state.fleet.observed_exits.insert({job, leader.partition, 0, kAttempt, true});
   leader.apply(plan({placement(1)}).transaction);
@@ -120,14 +120,15 @@
   bool due, leads, moved;
 };
 class FenceMoves : public testing::TestWithParam<FenceCase> {};
-TEST_P(FenceMoves, AreOfDueFencesOfLedPartitions) {
+TEST_P(FenceMoves, MoveOnlyDueFencesOfLedPartitions) {
   SinglePartition leader;
   leader.state.fence_due[0] = GetParam().due ? 1 : 0;
   if (!GetParam().leads) leader.state.incarnation = 8;
   const auto moves = plan_fence_moves(leader.state);
   ASSERT_EQ(moves.size(), GetParam().moved ? 1u : 0u);
   if (moves.empty()) return;
-  ASSERT_EQ(moves[0].transaction.compares.size(), 1u) << "whether the unanswered write was applied or not";
+  ASSERT_EQ(moves[0].transaction.compares.size(), 1u)
+      << "the move must succeed whether or not the unanswered write was applied";
   EXPECT_EQ(moves[0].transaction.compares[0].key, "parts/a.0");
   EXPECT_EQ(moves[0].transaction.compares[0].revision, kFencingToken);
   EXPECT_EQ(moves[0].transaction.writes[0].key, "fence/a.0");
@@ -138,10 +139,10 @@
                                          FenceCase{"another_leader", true, false, false}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(WriteFences, TheComparesOfAnUnansweredCommitTellWhichAreDue) {
+TEST(WriteFences, ComparesOfUnansweredCommitNameTheDueFences) {
   SinglePartition leader;
-  EXPECT_TRUE(partitions_fenced_by(leader.state, {{"parts/a.0", 40}, {"jobs/req-1", 51}}).empty());
-  EXPECT_EQ(partitions_fenced_by(leader.state, {{"parts/a.0", 40}, {"fence/a.0", 0}}),
+  EXPECT_TRUE(fenced_partitions(leader.state, {{"parts/a.0", 40}, {"jobs/req-1", 51}}).empty());
+  EXPECT_EQ(fenced_partitions(leader.state, {{"parts/a.0", 40}, {"fence/a.0", 0}}),
             std::vector<core::PartitionId>{leader.partition});
 }
 
@@ -151,7 +152,7 @@
   spdlog::level::level_enum level;
 };
 class CommitRefusal : public testing::TestWithParam<RefusalCase> {};
-TEST_P(CommitRefusal, IsNamedInItsLogLine) {
+TEST_P(CommitRefusal, LogLineNamesReasonAndFailedKey) {
   state::CommitResult result;
   result.outcome = GetParam().status;
   EXPECT_EQ(refusal_level(result.outcome), GetParam().level);
--- a/tests/assignments/single_partition.hpp
+++ b/tests/assignments/single_partition.hpp
@@ -1,4 +1,4 @@
-// A controller that leads one partition, for tests of its records.
+// A controller that leads one partition, for tests of the partition's records.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
     state.cache.synchronized(40);
   }
-  /// Accepts a job, all of whose tasks belong to the partition.
+  /// Accepts a job with all tasks in the partition.
   core::JobId job(const std::string& name, std::uint32_t tasks, jobs::Shape shape) {
     jobs::JobRecord record;
     record.spec.job_class = state.names.job_classes.intern("lane");
@@ -40,7 +40,7 @@
   core::JobId job(const std::string& name, std::uint32_t tasks, bool gang) {
     return job(name, tasks, gang ? jobs::Shape::gang : jobs::Shape::array);
   }
-  /// The first tasks, each on a machine of its own.
+  /// Assignments of the first tasks, each on its own machine.
   std::vector<jobs::TaskAssignment> assignments(std::uint32_t tasks, std::uint64_t attempt) {
     std::vector<jobs::TaskAssignment> assignments;
     for (std::uint32_t task = 0; task < tasks; ++task)
@@ -59,10 +59,10 @@
 };
 
 inline std::size_t largest_value(const PlannedTransaction& transaction) {
-  std::size_t most = 0;
+  std::size_t largest = 0;
   for (const auto& write : transaction.writes)
-    most = std::max(most, boost::json::serialize(*write.value).size());
-  return most;
+    largest = std::max(largest, boost::json::serialize(*write.value).size());
+  return largest;
 }
 
 }  // namespace finchrun::assignments
--- a/tests/assignments/upgrade.hpp
+++ b/tests/assignments/upgrade.hpp
@@ -1,30 +1,29 @@
-// The records of partition a.0 as the version in production left them, and the same store seen with smaller
-// limits.
+// The records of partition a.0 as an earlier release wrote them, on a store whose limits are smaller after
+// the upgrade.
 #pragma once
 
 #include <memory>
 
-#include "assignments/production_reader.hpp"
+#include "assignments/earlier_release_reader.hpp"
 #include "assignments/single_partition.hpp"
 
 namespace finchrun::assignments {
 
-inline constexpr std::uint64_t kAttempt = 1234567;  // as long as they become in a few days
+inline constexpr std::uint64_t kAttempt = 1234567;  // as many digits as attempt numbers have after a few days
 
-/// Controllers before and after an upgrade that lowers the limits, on one store.
+/// Controllers before and after an upgrade that lowers the limits, on the same store.
 struct Upgrade {
-  explicit Upgrade(const config::StateLimits& limits) : Upgrade(with(limits)) {}
+  explicit Upgrade(const config::StateLimits& limits) : Upgrade(settings_with(limits)) {}
   explicit Upgrade(const config::Settings& settings) : after(settings) {}
-  static config::Settings with(const config::StateLimits& limits) {
+  static config::Settings settings_with(const config::StateLimits& limits) {
     auto settings = single_partition_settings();
     settings.state_limits = limits;
     return settings;
   }
-  /// Makes the writer's transaction durable: whoever reads the store sees it, in the order of the keys or the
-  /// reverse.
+  /// Makes the writer's transaction durable. The readers see its keys in both possible orders.
   void commit(AssignmentWriter& writer) {
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     ++revision;
     for (const auto& write : transaction.writes) store[write.key] = {write.key, write.value, revision};
     for (auto* controller : {&before, &after})
@@ -32,13 +31,13 @@
         controller->state.cache.apply({write.key, write.value, revision});
     auto reversed = transaction.writes;
     std::reverse(reversed.begin(), reversed.end());
-    for (const auto& write : transaction.writes) shards_first.read({write.key, write.value, revision});
-    for (const auto& write : reversed) tombstones_first.read({write.key, write.value, revision});
+    for (const auto& write : transaction.writes) shards_first_reader.read({write.key, write.value, revision});
+    for (const auto& write : reversed) tombstones_first_reader.read({write.key, write.value, revision});
     writes = transaction.writes.size();
-    largest = largest_value(transaction);
+    largest_value_bytes = largest_value(transaction);
     for (const auto& write : transaction.writes)
       if (write.key.starts_with("runs/"))
-        largest_shard = std::max(largest_shard, boost::json::serialize(*write.value).size());
+        largest_shard_bytes = std::max(largest_shard_bytes, boost::json::serialize(*write.value).size());
   }
   core::JobId job(const std::string& name, std::uint32_t tasks, bool gang = false) {
     before.revision = after.revision = ++revision;
@@ -49,7 +48,7 @@
         revision};
     return before.job(name, tasks, gang);
   }
-  /// What a controller knows that starts now and reads the store.
+  /// The state of a controller that starts now and reads the store.
   [[nodiscard]] std::unique_ptr<ControllerState> fresh_reader() const {
     auto reader = std::make_unique<ControllerState>(single_partition_settings(), config::Tuning{});
     for (const auto& [_, update] : store) reader->cache.apply(update);
@@ -64,11 +63,11 @@
     return {reader.cache.done(id), reader.cache.placed(id)};
   }
   SinglePartition before, after;
-  ProductionReader shards_first{before.state.names}, tombstones_first{before.state.names};
+  EarlierReleaseReader shards_first_reader{before.state.names}, tombstones_first_reader{before.state.names};
   std::map<std::string, state::KeyUpdate> store;
   std::uint64_t revision = 100;
-  std::size_t writes = 0, largest = 0;  // of the last transaction
-  std::size_t largest_shard = 0;        // of all transactions
+  std::size_t writes = 0, largest_value_bytes = 0;  // of the last transaction
+  std::size_t largest_shard_bytes = 0;              // of all transactions
 };
 
 }  // namespace finchrun::assignments
--- a/tests/controller/quota_usage_test.cpp
+++ b/tests/controller/quota_usage_test.cpp
@@ -30,7 +30,7 @@
   assignments::AssignmentWriter writer(p.state, p.partition);
   ASSERT_TRUE(writer.add(id, p.assignments(3, 9)));
   assignments::PlannedTransaction transaction;
-  writer.finish(transaction);
+  writer.write_to(transaction);
   p.apply(transaction);
   for (auto exit : GetParam().exits) {
     exit.job = id;
--- a/tests/gateway/admission_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -104,9 +104,9 @@
         ImpossibleCase{"gang_at_the_limit", [](S& s) { s.spec.shape = jobs::Shape::gang, s.spec.tasks = 4; },
                        std::nullopt},
         ImpossibleCase{"gang_in_one_zone_and_spread",
-                       [](S& s) { s.spec.shape = jobs::Shape::gang, s.spec.one_zone = s.spec.spread = true; },
+                       [](S& s) { s.spec.shape = jobs::Shape::gang, s.spec.single_zone = s.spec.spread = true; },
                        Impossible::one_zone_and_spread},
-        ImpossibleCase{"array_may_ask_for_both", [](S& s) { s.spec.one_zone = s.spec.spread = true; },
+        ImpossibleCase{"array_may_ask_for_both", [](S& s) { s.spec.single_zone = s.spec.spread = true; },
                        std::nullopt},
         ImpossibleCase{"gang_spread_over_one_zone",
                        [](S& s) { s.spec.shape = jobs::Shape::gang, s.spec.spread = true, s.zone = "a"; },
@@ -171,8 +171,8 @@
 
 TEST(Admission, AServiceWaitsForTheUpgradeOfAllControllers) {
   auto service = array_of_two();
-  service.spec.shape = jobs::Shape::standing;
-  service.spec.expected_run_s = jobs::kNoEnd;
+  service.spec.shape = jobs::Shape::service;
+  service.spec.expected_run_s = jobs::kUnlimitedRunTimeS;
   Deployment deployment;
   deployment.member("perch-0", R"({"inc":1,"level":1})");
   deployment.member("perch-1", R"({"inc":2})");
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -153,7 +153,7 @@
   d.need = {1, 0, 4};
   d.image_gb = 1;
   d.standing = true;
-  d.expected_run_s = jobs::kNoEnd;
+  d.expected_run_s = jobs::kUnlimitedRunTimeS;
   struct Case {
     std::vector<Node> nodes;
     MachineId chosen;
@@ -227,7 +227,7 @@
                         Case{3, {room(0, 9), room(1, 8), room(2, 0)}, {2, 1, 0}}}) {
     jobs::JobSpec spec;
     spec.tasks = c.replicas;
-    spec.shape = jobs::Shape::standing;
+    spec.shape = jobs::Shape::service;
     spec.spread = true;
     std::vector<std::uint32_t> got(c.partitions.size());
     for (const auto& r : distribute(spec, c.partitions)) got[r.partition.index] += r.to - r.from;
--- a/tests/sched/preempt_test.cpp
+++ b/tests/sched/preempt_test.cpp
@@ -207,7 +207,7 @@
     auto d = demand(1, 1);
     d.waited_s = 60;
     auto r = running(1, 0, 3, 4);
-    r.remaining_s = endless ? jobs::kNoEnd : 30;
+    r.remaining_s = endless ? jobs::kUnlimitedRunTimeS : 30;
     auto n = full(0);
     n.free = {};
     EXPECT_EQ(reserve_for_gangs({n}, {d}, {0}, {r}, {TeamQuota{}, TeamQuota{}}, 10, 1).size(),
--- a/tests/scheduling/preemption_test.cpp
+++ b/tests/scheduling/preemption_test.cpp
@@ -16,8 +16,8 @@
 jobs::JobSpec spec(jobs::Shape shape, double checkpoint_s, double save_s, double expected_run_s) {
   jobs::JobSpec spec;
   spec.shape = shape;
-  spec.checkpoint_s = checkpoint_s;
-  spec.save_s = save_s;
+  spec.checkpoint_interval_s = checkpoint_s;
+  spec.checkpoint_save_s = save_s;
   spec.expected_run_s = expected_run_s;
   return spec;
 }
@@ -41,8 +41,8 @@
                     CostCase{"saves_its_progress", spec(Shape::array, 60, 8, 600), 200, 13, 400},
                     CostCase{"young_tasks_cost_more", spec(Shape::array, 0, 0, 600), 10, 30, 590},
                     CostCase{"longer_than_expected", spec(Shape::gang, 60, 8, 600), 900, 13, 61},
-                    CostCase{"replica_leaves_a_gap", spec(Shape::standing, 0, 0, jobs::kNoEnd), 9000, 30,
-                             jobs::kNoEnd}),
+                    CostCase{"replica_leaves_a_gap", spec(Shape::service, 0, 0, jobs::kUnlimitedRunTimeS), 9000, 30,
+                             jobs::kUnlimitedRunTimeS}),
     [](const auto& info) { return std::string(info.param.name); });
 
 // A heartbeat every 3 s: 10 s beside the time to save.
@@ -59,7 +59,7 @@
     AssignmentWriter writer(deployment.state, deployment.partition);
     writer.add(job, deployment.assignments(tasks, attempt));
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     deployment.apply(transaction);
   }
   SinglePartition deployment;
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -11,7 +11,7 @@
 
 using assignments::single_partition_settings;
 using assignments::SinglePartition;
-using jobs::Range;
+using jobs::TaskRange;
 
 constexpr core::PartitionId kOurs{0}, kOther{1};  // a.0 and b.0
 const core::TimePoint kNow(core::secs(100));
@@ -19,11 +19,11 @@
 struct MoveCase {
   const char* name;
   std::set<std::uint32_t> tasks;
-  std::vector<Range> after;
+  std::vector<TaskRange> after;
 };
 class MoveTasks : public testing::TestWithParam<MoveCase> {};
 TEST_P(MoveTasks, SplitsOnlyRangesOfTheSourcePartition) {
-  const std::vector<Range> before{{0, 4, kOurs}, {4, 6, kOther}, {6, 8, kOurs}};
+  const std::vector<TaskRange> before{{0, 4, kOurs}, {4, 6, kOther}, {6, 8, kOurs}};
   EXPECT_EQ(move_tasks(before, kOurs, kOther, GetParam().tasks), GetParam().after);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -42,7 +42,7 @@
   jobs::Shape shape;
   double free_gpus;
   std::function<void(SinglePartition&, core::JobId)> change;
-  std::vector<Range> after;  // empty: nothing moves
+  std::vector<TaskRange> after;  // empty: nothing moves
 };
 class PlanRangeMove : public testing::TestWithParam<PlanCase> {
  protected:
@@ -75,7 +75,7 @@
     demand.job = id;
     demand.team = job.spec.team;
     demand.need = job.spec.need;
-    demand.gang = job.spec.gang();
+    demand.gang = job.spec.is_gang();
     demand.tasks = {0, 1, 2, 3};
     return {{kOurs, demand}};
   }
@@ -117,7 +117,7 @@
                    assignments::AssignmentWriter writer(p.state, kOurs);
                    ASSERT_TRUE(writer.add(id, p.assignments(1, 9)));
                    assignments::PlannedTransaction transaction;
-                   writer.finish(transaction);
+                   writer.write_to(transaction);
                    p.apply(transaction);
                  },
                  {}},
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -27,7 +27,7 @@
     record.spec.image = state.names.images.intern("img");
     record.spec.shape = shape;
     record.spec.tasks = 6;
-    record.spec.one_zone = one_zone;
+    record.spec.single_zone = one_zone;
     record.spec.spread = spread;
     record.ranges = {{0, 3, ours}, {3, 6, other}};
     state.cache.apply({"jobs/req-1", jobs::to_json(record, state.names), ++deployment.revision});
@@ -37,7 +37,7 @@
     AssignmentWriter writer(state, partition);
     writer.add(job, {{task, 9, state.names.machines.intern("host-1"), 1}});
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     deployment.apply(transaction);
   }
   std::optional<sched::Demand> demand(core::JobId job) {
@@ -94,7 +94,7 @@
   cloud::MachineType type;
   type.size = {32, 4, 256};
   auto& machine = state.fleet.intern(state.names, "host-1");
-  const auto id = job(jobs::Shape::standing, false, false);
+  const auto id = job(jobs::Shape::service, false, false);
   place(id, ours, 0);
   machine.cordoned_until = kNow + core::secs(1);
   machine.reserved_for = core::JobId{9};
--- a/tests/scheduling/waiting_tasks_test.cpp
+++ b/tests/scheduling/waiting_tasks_test.cpp
@@ -53,7 +53,7 @@
 }
 
 TEST(WaitingTasks, ReplicaThatHasEndedRunsAgain) {
-  Records records(jobs::Shape::standing);
+  Records records(jobs::Shape::service);
   records.record("a.0/s1", placed_and_done(records, 0, 2));
   EXPECT_EQ(WaitingTasks(records.cache, records.job).first(kFirst, 100),
             (std::vector<std::uint32_t>{1, 2, 3, 4, 5}));
--- a/tests/wire/messages_test.cpp
+++ b/tests/wire/messages_test.cpp
@@ -23,7 +23,7 @@
   const auto& s = std::get<Submission>(parsed);
   EXPECT_EQ(s.id, "req-000412");
   EXPECT_EQ(s.team, "vision");
-  EXPECT_TRUE(s.spec.gang());
+  EXPECT_TRUE(s.spec.is_gang());
   EXPECT_EQ(s.spec.priority, jobs::Priority::high);
   EXPECT_EQ(s.spec.tasks, 16u);
   EXPECT_DOUBLE_EQ(s.spec.need.ram_gb, 64.0);
@@ -70,9 +70,9 @@
     const auto parsed = parse_submission(json::serialize(o));
     ASSERT_TRUE(std::holds_alternative<Submission>(parsed));
     const auto& spec = std::get<Submission>(parsed).spec;
-    EXPECT_TRUE(spec.standing());
-    EXPECT_FALSE(spec.gang());
-    EXPECT_EQ(spec.expected_run_s, jobs::kNoEnd);
+    EXPECT_TRUE(spec.is_service());
+    EXPECT_FALSE(spec.is_gang());
+    EXPECT_EQ(spec.expected_run_s, jobs::kUnlimitedRunTimeS);
   }
 }
 
