--- a/src/assignments/exit_recorder.cpp
+++ b/src/assignments/exit_recorder.cpp
@@ -16,8 +16,8 @@
     // exits.
     if (!state.loaded) return;
     state.drop_recorded_exits();
-    for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
-      const core::PartitionId partition{p};
+    for (std::uint32_t index = 0; index < state.partitions.size(); ++index) {
+      const core::PartitionId partition{index};
       if (!state.leads(partition)) continue;
       auto transaction = plan_next_transaction(state, partition);
       if (transaction.writes.empty()) continue;
--- a/src/assignments/write_fences.cpp
+++ b/src/assignments/write_fences.cpp
@@ -14,8 +14,8 @@
 std::vector<core::PartitionId> fenced_partitions(const ControllerState& state,
                                                  const std::vector<state::Compare>& compares) {
   std::vector<core::PartitionId> partitions;
-  for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
-    const core::PartitionId partition{p};
+  for (std::uint32_t index = 0; index < state.partitions.size(); ++index) {
+    const core::PartitionId partition{index};
     const auto key = state::keys::fence(state.names.partitions.name(partition));
     if (std::any_of(compares.begin(), compares.end(),
                     [&](const auto& compare) { return compare.key == key; }))
@@ -26,9 +26,9 @@
 
 std::vector<FenceMove> plan_fence_moves(const ControllerState& state) {
   std::vector<FenceMove> moves;
-  for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
-    const core::PartitionId partition{p};
-    if (!state.fence_due[p] || !state.leads(partition)) continue;
+  for (std::uint32_t index = 0; index < state.partitions.size(); ++index) {
+    const core::PartitionId partition{index};
+    if (!state.fence_due[index] || !state.leads(partition)) continue;
     const auto& name = state.names.partitions.name(partition);
     FenceMove move{partition, {}};
     move.transaction.compares.push_back({state::keys::partition(name), state.fencing_token(partition)});
@@ -52,9 +52,9 @@
 
 asio::awaitable<void> WriteFences::move_due_fences() {
   auto moves = state_.with([](ControllerState& state) {
-    for (std::uint32_t p = 0; p < state.partitions.size(); ++p) {
+    for (std::uint32_t index = 0; index < state.partitions.size(); ++index) {
       // Once another leader has a newer fencing token, the unanswered write fails by its own compares.
-      if (!state.leads(core::PartitionId{p})) state.fence_due[p] = 0;
+      if (!state.leads(core::PartitionId{index})) state.fence_due[index] = 0;
     }
     return plan_fence_moves(state);
   });
--- a/tests/assignments/record_history_test.cpp
+++ b/tests/assignments/record_history_test.cpp
@@ -26,23 +26,23 @@
           {"members/perch-1", boost::json::parse(R"({"inc":3})"), ++upgrade_.revision});
   }
   // Operations of the earlier release, under the larger limits.
-  void before_upgrade() {
+  void run_before_upgrade() {
     for (int i = 0; i < 80; ++i) add_job();
     for (int i = 0; i < 25; ++i) {
-      place_some(upgrade_.before);
-      exit_some(upgrade_.before);
-      check("before");
+      place_random_tasks(upgrade_.before);
+      end_random_tasks(upgrade_.before);
+      expect_counts("before");
     }
   }
   // Operations of this release, with a step of shrinking between any two other writes.
-  void after_upgrade() {
+  void run_after_upgrade() {
     for (int i = 0; i < 60; ++i) {
       AssignmentWriter writer(upgrade_.after.state, upgrade_.after.partition);
       if (writer.shrink()) upgrade_.commit(writer);
-      check("shrunk");
-      if (i % 3 == 0) place_some(upgrade_.after);
-      if (i % 3 == 1) exit_some(upgrade_.after);
-      check("after");
+      expect_counts("shrunk");
+      if (i % 3 == 0) place_random_tasks(upgrade_.after);
+      if (i % 3 == 1) end_random_tasks(upgrade_.after);
+      expect_counts("after");
     }
   }
 
@@ -59,22 +59,23 @@
     if (limits.earlier_release_listed) settings.members = {{"perch-1", "a", {}}};
     return settings;
   }
-  std::uint32_t draw(std::uint32_t below) { return static_cast<std::uint32_t>(random_() % below); }
+  std::uint32_t random_below(std::uint32_t below) { return static_cast<std::uint32_t>(random_() % below); }
 
   void add_job() {
-    Job job{"req-" + std::to_string(100000 + jobs_.size()), 10 + draw(50), {}, {}, {}};
+    Job job{"req-" + std::to_string(100000 + jobs_.size()), 10 + random_below(50), {}, {}, {}};
     for (std::uint32_t t = 0; t < job.tasks; ++t) job.waiting.insert(t);
     upgrade_.job(job.name, job.tasks);
     jobs_.push_back(std::move(job));
   }
-  void place_some(SinglePartition& leader) {
+  void place_random_tasks(SinglePartition& leader) {
     AssignmentWriter writer(leader.state, leader.partition);
     const auto attempt = ++attempt_;
     for (int i = 0; i < 8; ++i) {
-      auto& job = jobs_[draw(static_cast<std::uint32_t>(jobs_.size()))];
+      auto& job = jobs_[random_below(static_cast<std::uint32_t>(jobs_.size()))];
       std::vector<jobs::TaskAssignment> assignments;
       for (const auto task : job.waiting)
-        if (assignments.size() < 12) assignments.push_back({task, attempt, machine(leader, draw(40)), 1});
+        if (assignments.size() < 12)
+          assignments.push_back({task, attempt, machine(leader, random_below(40)), 1});
       if (assignments.empty() || !writer.add(*leader.state.names.jobs.find(job.name), assignments)) continue;
       for (const auto& assignment : assignments) {
         job.waiting.erase(assignment.task);
@@ -87,14 +88,14 @@
     return leader.state.names.machines.intern("host-" + std::to_string(100000 + number));
   }
   // Ends a random twelfth of the placed tasks. One in five of these is lost and waits again.
-  void exit_some(SinglePartition& leader) {
+  void end_random_tasks(SinglePartition& leader) {
     AssignmentWriter writer(leader.state, leader.partition);
     for (auto& job : jobs_)
       for (auto it = job.placed.begin(); it != job.placed.end();) {
-        const bool done = draw(5) != 0;
+        const bool done = random_below(5) != 0;
         const auto [task, attempt] = *it;
-        if (draw(12) != 0 || !writer.record_exit({*leader.state.names.jobs.find(job.name), leader.partition,
-                                                  task, attempt, done})) {
+        if (random_below(12) != 0 || !writer.record_exit({*leader.state.names.jobs.find(job.name),
+                                                          leader.partition, task, attempt, done})) {
           ++it;
           continue;
         }
@@ -103,7 +104,7 @@
       }
     if (writer.written_key_count() > 0) upgrade_.commit(writer);
   }
-  void check(const char* step) {
+  void expect_counts(const char* step) {
     const auto reader = upgrade_.fresh_reader();
     for (const auto& job : jobs_) {
       const auto done = static_cast<std::uint32_t>(job.done.size());
@@ -130,8 +131,8 @@
 TEST_P(RecordHistory, EveryReaderCountsEachTaskOnce) {
   const auto& [limits, seed] = GetParam();
   History history(limits, seed);
-  history.before_upgrade();
-  if (!HasFailure()) history.after_upgrade();
+  history.run_before_upgrade();
+  if (!HasFailure()) history.run_after_upgrade();
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RecordHistory,
                          testing::Combine(testing::Values(HistoryCase{2, 5, true}, HistoryCase{2, 5, false},
