--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -175,7 +175,7 @@
     auto& profile = job_class_profiles[spec.job_class.index];
     profile.need = spec.need;
     profile.spot = spec.spot;
-    profile.allowed_types = spec.types;
+    profile.allowed_types = spec.allowed_types;
     unfinished[spec.job_class.index] += unfinished_tasks(cache, id);
   }
   for (std::size_t i = 0; i < job_class_profiles.size(); ++i)
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -1,9 +1,8 @@
-#include "gateway/admission.hpp"
-
 #include <algorithm>
 #include <set>
 
 #include "assignments/assignment_writer.hpp"
+#include "gateway/admission.hpp"
 #include "sched/distribute.hpp"
 #include "scheduling/cluster_load.hpp"
 
@@ -46,10 +45,10 @@
   spec.image = state.names.images.intern(submission.image);
   if (submission.zone) spec.zone = state.names.zones.intern(*submission.zone);
   if (submission.allowed_types) {
-    spec.types.emplace();
+    spec.allowed_types.emplace();
     for (const auto& name : *submission.allowed_types)
       if (const auto id = state.names.types.find(name); id && state.fleet.machine_type(*id))
-        spec.types->push_back(*id);
+        spec.allowed_types->push_back(*id);
   }
   spec.submitted_s = wall_s;
   record.ranges = sched::distribute(spec, scheduling::partition_capacities(state, spec, now));
@@ -93,10 +92,10 @@
   const sched::TeamQuota unused_quota{{}, team->cpus_max, team->gpus_max};
   if (!unused_quota.allows(spec.need * tasks_at_once)) return InfeasibleReason::over_team_limit;
   const bool spreads = spec.needs_all_tasks() && spec.spread && spec.tasks > 1;
-  if (spreads && spec.one_zone) return InfeasibleReason::single_zone_with_spread;
+  if (spreads && spec.single_zone) return InfeasibleReason::single_zone_with_spread;
   if (spreads && zones.size() < 2) return InfeasibleReason::spread_needs_second_zone;
-  if (spec.gang() &&
-      spec.tasks > assignments::AssignmentWriter::most_assignments(state.settings.state_limits))
+  if (spec.is_gang() &&
+      spec.tasks > assignments::AssignmentWriter::max_assignments(state.settings.state_limits))
     return InfeasibleReason::gang_too_large;
   return std::nullopt;
 }
@@ -106,7 +105,7 @@
   if (state.find_job(submission.id)) return AlreadyAccepted{};
   if (!state.cache_loaded || state.fleet.machine_types.empty()) return NotReady{};
   if (const auto reason = infeasible_reason(state, submission)) return Infeasible{*reason};
-  if (submission.spec.standing() && !state.all_members_support(state::kStandingJobs))
+  if (submission.spec.is_service() && !state.all_members_support(state::kStandingJobs))
     return AwaitingUpgrade{};
 
   const auto record = make_record(state, submission, now, wall_s);
--- a/src/sched/distribute.hpp
+++ b/src/sched/distribute.hpp
@@ -23,7 +23,7 @@
 /// Returns the ranges of the job's tasks, sorted and without gaps: each task belongs to exactly one
 /// partition. A gang or a single-zone job is assigned to one partition as a whole. `partitions` must not be
 /// empty. If none of them is allowed, all are considered, so that the job is queued in some partition.
-std::vector<jobs::Range> distribute(const jobs::JobSpec& spec,
-                                    const std::vector<PartitionCapacity>& partitions);
+std::vector<jobs::TaskRange> distribute(const jobs::JobSpec& spec,
+                                        const std::vector<PartitionCapacity>& partitions);
 
 }  // namespace finchrun::sched
--- a/src/sched/preempt.cpp
+++ b/src/sched/preempt.cpp
@@ -1,11 +1,10 @@
-#include "sched/preempt.hpp"
-
 #include <algorithm>
 #include <functional>
 #include <optional>
 #include <unordered_map>
 
 #include "jobs/job.hpp"
+#include "sched/preempt.hpp"
 
 namespace finchrun::sched {
 namespace {
@@ -284,7 +283,8 @@
   };
   append(0);
   for (const auto i : running_here) {
-    if (running[i].remaining_s == jobs::kNoEnd) break;  // a replica never frees its resources by itself
+    if (running[i].remaining_s == jobs::kUnlimitedRunTimeS)
+      break;  // a replica never frees its resources by itself
     free += running[i].need;
     append(running[i].remaining_s);
   }
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -1,8 +1,7 @@
-#include "scheduling/rebalancer.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include "scheduling/cluster_load.hpp"
+#include "scheduling/rebalancer.hpp"
 
 namespace finchrun::scheduling {
 
@@ -21,7 +20,7 @@
 };
 
 // All tasks of the job run in one partition, so they can only move together.
-bool must_move_whole(const jobs::JobSpec& spec) { return spec.gang() || spec.one_zone; }
+bool must_move_whole(const jobs::JobSpec& spec) { return spec.is_gang() || spec.single_zone; }
 
 // Returns the number of additional tasks that the partition's zone may run, by the ranges in that zone.
 // Ranges include all running tasks: a task is only assigned in the partition of its range, and moved tasks
@@ -32,7 +31,7 @@
   for (const auto& range : job.ranges)
     if (state.partitions.zone(range.partition) == state.partitions.zone(partition))
       there += range.to - range.from;
-  const auto cap = job.spec.zone_cap();
+  const auto cap = job.spec.max_tasks_per_zone();
   return cap - std::min(cap, there);
 }
 
@@ -109,9 +108,9 @@
 
 }  // namespace
 
-std::vector<jobs::Range> move_tasks(const std::vector<jobs::Range>& ranges, core::PartitionId from,
-                                    core::PartitionId to, const std::set<std::uint32_t>& tasks) {
-  std::vector<jobs::Range> result;
+std::vector<jobs::TaskRange> move_tasks(const std::vector<jobs::TaskRange>& ranges, core::PartitionId from,
+                                        core::PartitionId to, const std::set<std::uint32_t>& tasks) {
+  std::vector<jobs::TaskRange> result;
   for (const auto& range : ranges) {
     const auto moves = [&](std::uint32_t task) { return range.partition == from && tasks.contains(task); };
     for (auto task = range.from; task < range.to;) {
--- a/src/scheduling/rebalancer.hpp
+++ b/src/scheduling/rebalancer.hpp
@@ -31,8 +31,8 @@
 
 /// Returns the ranges with those of `tasks` that belong to partition `from` moved to `to`. Splits ranges only
 /// where necessary, and keeps the ranges of other partitions.
-std::vector<jobs::Range> move_tasks(const std::vector<jobs::Range>& ranges, core::PartitionId from,
-                                    core::PartitionId to, const std::set<std::uint32_t>& tasks);
+std::vector<jobs::TaskRange> move_tasks(const std::vector<jobs::TaskRange>& ranges, core::PartitionId from,
+                                        core::PartitionId to, const std::set<std::uint32_t>& tasks);
 
 /// Moves tasks of jobs in the backlog, one job per call, since the cached load does not include the previous
 /// move.
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -199,7 +199,7 @@
     const auto* job = state.cache.job(placed.job);
     if (!job || job->status != jobs::Status::live) continue;
     if (!machine.has_image(job->spec.image)) fetching.insert(job->spec.image);
-    if (job->spec.standing()) node.replicas.push_back(placed.job);
+    if (job->spec.is_service()) node.replicas.push_back(placed.job);
   }
   node.fetches_in_progress = fetching.size();
   if (machine.cordoned_until > now) node.start_delay_s = kCordonedStartDelayS;
@@ -214,7 +214,7 @@
   const auto& job = *state.cache.job(id);
   // `together` in the request: no task may start here while any task, including old attempts, may be in
   // another zone.
-  if (job.spec.one_zone && may_run_in_other_zone(state, id, partition)) return 0;
+  if (job.spec.single_zone && may_run_in_other_zone(state, id, partition)) return 0;
   // `scatter` in the request: counts all tasks that other partitions in the zone may place, so that leaders
   // need no coordination.
   std::uint32_t in_zone = 0;
@@ -225,7 +225,7 @@
   state.cache.each_run(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
     if (other == partition) in_zone += static_cast<std::uint32_t>(run.assignments.size());
   });
-  const auto cap = job.spec.zone_cap();
+  const auto cap = job.spec.max_tasks_per_zone();
   return cap - std::min(cap, in_zone);
 }
 
@@ -234,10 +234,10 @@
   const auto& job = *state.cache.job(id);
   const auto& spec = job.spec;
   // A gang cannot restart until all tasks of its earlier attempt have ended in all partitions.
-  if (spec.gang() && state.cache.placed(id) > 0) return std::nullopt;
+  if (spec.is_gang() && state.cache.placed(id) > 0) return std::nullopt;
   sched::Demand demand;
-  demand.tasks = waiting.first_tasks(partition, spec.gang() ? spec.tasks : kMaxTasksPerJob);
-  if (demand.tasks.empty() || (spec.gang() && demand.tasks.size() != spec.tasks)) return std::nullopt;
+  demand.tasks = waiting.first_tasks(partition, spec.is_gang() ? spec.tasks : kMaxTasksPerJob);
+  if (demand.tasks.empty() || (spec.is_gang() && demand.tasks.size() != spec.tasks)) return std::nullopt;
   demand.count = waiting.count(partition);
   demand.job = id;
   demand.job_revision = job.revision;
@@ -248,10 +248,10 @@
   demand.need = spec.need;
   demand.expected_run_s = spec.expected_run_s;
   demand.priority = static_cast<int>(spec.priority);
-  demand.gang = spec.gang();
-  demand.is_service = spec.standing();
+  demand.gang = spec.is_gang();
+  demand.is_service = spec.is_service();
   demand.spot = spec.spot;
-  demand.allowed_types = spec.types;
+  demand.allowed_types = spec.allowed_types;
   demand.zone = spec.zone;
   demand.zone_headroom = zone_headroom(state, id, partition);
   return demand;
--- a/src/scheduling/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -1,7 +1,7 @@
-#include "scheduling/waiting_tasks.hpp"
-
 #include <algorithm>
 
+#include "scheduling/waiting_tasks.hpp"
+
 namespace finchrun::scheduling {
 
 WaitingTasks::WaitingTasks(const state::StateCache& cache, core::JobId id) : job_(cache.job(id)) {
@@ -16,7 +16,7 @@
 void WaitingTasks::mark_busy(const jobs::JobAssignments& run) {
   const auto tasks = job_->spec.tasks;
   // An ended replica is started again, so `done` of a service, recorded by earlier versions, is ignored.
-  if (!job_->spec.standing())
+  if (!job_->spec.is_service())
     for (const auto& [from, to] : run.done.spans())
       std::fill(busy_.begin() + std::min(from, tasks), busy_.begin() + std::min(to, tasks), true);
   for (const auto& assignment : run.assignments)
--- a/tests/agent/heartbeat_handler_test.cpp
+++ b/tests/agent/heartbeat_handler_test.cpp
@@ -1,9 +1,9 @@
-#include "agent/heartbeat_handler.hpp"
-
 #include <gtest/gtest.h>
 
 #include <functional>
 
+#include "agent/heartbeat_handler.hpp"
+
 namespace finchrun::agent {
 namespace {
 
@@ -72,7 +72,7 @@
   for (const auto cause : {ExitCause::done, ExitCause::error, ExitCause::stopped}) {
     Fixture fixture;
     auto record = *fixture.cache.job(core::JobId{0});
-    record.spec.shape = jobs::Shape::standing;
+    record.spec.shape = jobs::Shape::service;
     fixture.cache.apply({"jobs/req-1", jobs::to_json(record, fixture.names), 45});
     fixture.heartbeat(2, 1, 50, {{"req-1", 0, 7, TaskState::ended, cause, false}});
     ASSERT_EQ(fixture.fleet.observed_exits.size(), 1u);
--- a/tests/assignments/record_history_test.cpp
+++ b/tests/assignments/record_history_test.cpp
@@ -1,5 +1,5 @@
-// Random histories of one partition's records across an upgrade: whatever is written, every reader counts
-// each task once.
+// Random histories of one partition's records across an upgrade: every reader must count each task once after
+// every write.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -13,36 +13,36 @@
 struct HistoryCase {
   double value_kb;
   int writes;
-  bool production_listed;  // a controller of the version in production may read what is written
+  bool earlier_release_listed;  // a controller of an earlier release may read the records
 };
 
-// The tasks of one partition's jobs, and what has become of them.
+// The expected states of all tasks of one partition's jobs, and the random operations on them.
 class History {
  public:
   History(const HistoryCase& limits, std::uint32_t seed)
-      : upgrade_(settings(limits)), listed_(limits.production_listed), random_(seed) {
-    if (listed_)
+      : upgrade_(settings(limits)), earlier_release_listed_(limits.earlier_release_listed), random_(seed) {
+    if (earlier_release_listed_)
       upgrade_.after.state.cache.apply(
           {"members/perch-1", boost::json::parse(R"({"inc":3})"), ++upgrade_.revision});
   }
-  // What production does before the upgrade, under the limits of then.
-  void before_upgrade() {
+  // Operations of the earlier release, under the larger limits.
+  void run_before_upgrade() {
     for (int i = 0; i < 80; ++i) add_job();
     for (int i = 0; i < 25; ++i) {
-      place_some(upgrade_.before);
-      exit_some(upgrade_.before);
-      check("before");
+      place_random_tasks(upgrade_.before);
+      end_random_tasks(upgrade_.before);
+      expect_counts("before");
     }
   }
-  // What the new version does, a step of shrinking between any two other writes.
-  void after_upgrade() {
+  // Operations of this release, with a step of shrinking between any two other writes.
+  void run_after_upgrade() {
     for (int i = 0; i < 60; ++i) {
       AssignmentWriter writer(upgrade_.after.state, upgrade_.after.partition);
       if (writer.shrink()) upgrade_.commit(writer);
-      check("shrunk");
-      if (i % 3 == 0) place_some(upgrade_.after);
-      if (i % 3 == 1) exit_some(upgrade_.after);
-      check("after");
+      expect_counts("shrunk");
+      if (i % 3 == 0) place_random_tasks(upgrade_.after);
+      if (i % 3 == 1) end_random_tasks(upgrade_.after);
+      expect_counts("after");
     }
   }
 
@@ -55,55 +55,56 @@
   };
 
   static config::Settings settings(const HistoryCase& limits) {
-    auto settings = Upgrade::with({100, 20, limits.value_kb, limits.writes});
-    if (limits.production_listed) settings.members = {{"perch-1", "a", {}}};
+    auto settings = Upgrade::settings_with({100, 20, limits.value_kb, limits.writes});
+    if (limits.earlier_release_listed) settings.members = {{"perch-1", "a", {}}};
     return settings;
   }
-  std::uint32_t draw(std::uint32_t below) { return static_cast<std::uint32_t>(random_() % below); }
+  std::uint32_t random_below(std::uint32_t below) { return static_cast<std::uint32_t>(random_() % below); }
 
   void add_job() {
-    Job job{"req-" + std::to_string(100000 + jobs_.size()), 10 + draw(50), {}, {}, {}};
+    Job job{"req-" + std::to_string(100000 + jobs_.size()), 10 + random_below(50), {}, {}, {}};
     for (std::uint32_t t = 0; t < job.tasks; ++t) job.waiting.insert(t);
     upgrade_.job(job.name, job.tasks);
     jobs_.push_back(std::move(job));
   }
-  void place_some(SinglePartition& leader) {
+  void place_random_tasks(SinglePartition& leader) {
     AssignmentWriter writer(leader.state, leader.partition);
     const auto attempt = ++attempt_;
     for (int i = 0; i < 8; ++i) {
-      auto& job = jobs_[draw(static_cast<std::uint32_t>(jobs_.size()))];
+      auto& job = jobs_[random_below(static_cast<std::uint32_t>(jobs_.size()))];
       std::vector<jobs::TaskAssignment> assignments;
       for (const auto task : job.waiting)
-        if (assignments.size() < 12) assignments.push_back({task, attempt, machine(leader, draw(40)), 1});
+        if (assignments.size() < 12)
+          assignments.push_back({task, attempt, machine(leader, random_below(40)), 1});
       if (assignments.empty() || !writer.add(*leader.state.names.jobs.find(job.name), assignments)) continue;
       for (const auto& assignment : assignments) {
         job.waiting.erase(assignment.task);
         job.placed[assignment.task] = attempt;
       }
     }
-    if (writer.touched() > 0) upgrade_.commit(writer);
+    if (writer.written_key_count() > 0) upgrade_.commit(writer);
   }
   static core::MachineId machine(SinglePartition& leader, std::uint32_t number) {
     return leader.state.names.machines.intern("host-" + std::to_string(100000 + number));
   }
-  // One in four is lost and waits again.
-  void exit_some(SinglePartition& leader) {
+  // Ends a random twelfth of the placed tasks. One in five of these is lost and waits again.
+  void end_random_tasks(SinglePartition& leader) {
     AssignmentWriter writer(leader.state, leader.partition);
     for (auto& job : jobs_)
       for (auto it = job.placed.begin(); it != job.placed.end();) {
-        const bool done = draw(5) != 0;
+        const bool done = random_below(5) != 0;
         const auto [task, attempt] = *it;
-        if (draw(12) != 0 || !writer.record_exit({*leader.state.names.jobs.find(job.name), leader.partition,
-                                                  task, attempt, done})) {
+        if (random_below(12) != 0 || !writer.record_exit({*leader.state.names.jobs.find(job.name),
+                                                          leader.partition, task, attempt, done})) {
           ++it;
           continue;
         }
         (done ? job.done : job.waiting).insert(task);
         it = job.placed.erase(it);
       }
-    if (writer.touched() > 0) upgrade_.commit(writer);
+    if (writer.written_key_count() > 0) upgrade_.commit(writer);
   }
-  void check(const char* step) {
+  void expect_counts(const char* step) {
     const auto reader = upgrade_.fresh_reader();
     for (const auto& job : jobs_) {
       const auto done = static_cast<std::uint32_t>(job.done.size());
@@ -113,14 +114,14 @@
       const auto id = *upgrade_.after.state.names.jobs.find(job.name);
       EXPECT_EQ(upgrade_.after.state.cache.done(id), done) << job.name << " " << step;
       EXPECT_EQ(upgrade_.after.state.cache.placed(id), placed) << job.name << " " << step;
-      if (!listed_) continue;
-      EXPECT_EQ(upgrade_.shards_first.done(job.name), done) << job.name << " " << step;
-      EXPECT_EQ(upgrade_.tombstones_first.done(job.name), done) << job.name << " " << step;
+      if (!earlier_release_listed_) continue;
+      EXPECT_EQ(upgrade_.shards_first_reader.done(job.name), done) << job.name << " " << step;
+      EXPECT_EQ(upgrade_.tombstones_first_reader.done(job.name), done) << job.name << " " << step;
     }
   }
 
   Upgrade upgrade_;
-  bool listed_;
+  bool earlier_release_listed_;
   std::mt19937 random_;
   std::vector<Job> jobs_;
   std::uint64_t attempt_ = 1234567;
@@ -130,8 +131,8 @@
 TEST_P(RecordHistory, EveryReaderCountsEachTaskOnce) {
   const auto& [limits, seed] = GetParam();
   History history(limits, seed);
-  history.before_upgrade();
-  if (!HasFailure()) history.after_upgrade();
+  history.run_before_upgrade();
+  if (!HasFailure()) history.run_after_upgrade();
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RecordHistory,
                          testing::Combine(testing::Values(HistoryCase{2, 5, true}, HistoryCase{2, 5, false},
@@ -140,9 +141,10 @@
                                           testing::Range(1u, 5u)),
                          [](const auto& info) {
                            const HistoryCase& limits = std::get<0>(info.param);
-                           return fmt::format("{:.0f}_kb_{}_{}", limits.value_kb,
-                                              limits.production_listed ? "listed" : "new",
-                                              std::get<1>(info.param));
+                           return fmt::format(
+                               "{:.0f}_kb_{}_seed_{}", limits.value_kb,
+                               limits.earlier_release_listed ? "earlier_release_listed" : "all_upgraded",
+                               std::get<1>(info.param));
                          });
 
 }  // namespace
--- a/tests/controller/quota_usage_test.cpp
+++ b/tests/controller/quota_usage_test.cpp
@@ -1,8 +1,7 @@
-#include "controller/quota_usage.hpp"
-
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
+#include "controller/quota_usage.hpp"
 
 namespace finchrun::controller {
 namespace {
@@ -30,7 +29,7 @@
   assignments::AssignmentWriter writer(fixture.state, fixture.partition);
   ASSERT_TRUE(writer.add(id, fixture.assignments(3, 9)));
   assignments::PlannedTransaction transaction;
-  writer.finish(transaction);
+  writer.write_to(transaction);
   fixture.apply(transaction);
   for (auto exit : GetParam().exits) {
     exit.job = id;
--- a/tests/gateway/admission_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -1,9 +1,9 @@
-#include "gateway/admission.hpp"
-
 #include <gtest/gtest.h>
 
 #include <functional>
 
+#include "gateway/admission.hpp"
+
 namespace finchrun::gateway {
 namespace {
 
@@ -117,12 +117,12 @@
                     InfeasibleCase{"gang_in_one_zone_and_spread",
                                    [](Submission& submission) {
                                      submission.spec.shape = jobs::Shape::gang,
-                                     submission.spec.one_zone = submission.spec.spread = true;
+                                     submission.spec.single_zone = submission.spec.spread = true;
                                    },
                                    InfeasibleReason::single_zone_with_spread},
                     InfeasibleCase{"array_may_ask_for_both",
                                    [](Submission& submission) {
-                                     submission.spec.one_zone = submission.spec.spread = true;
+                                     submission.spec.single_zone = submission.spec.spread = true;
                                    },
                                    std::nullopt},
                     InfeasibleCase{"gang_spread_over_one_zone",
@@ -194,8 +194,8 @@
 
 TEST(Admission, ServiceRequiresTheUpgradeOfAllControllers) {
   auto service = array_of_two();
-  service.spec.shape = jobs::Shape::standing;
-  service.spec.expected_run_s = jobs::kNoEnd;
+  service.spec.shape = jobs::Shape::service;
+  service.spec.expected_run_s = jobs::kUnlimitedRunTimeS;
   Deployment deployment;
   deployment.member("perch-0", R"({"inc":1,"level":1})");
   deployment.member("perch-1", R"({"inc":2})");
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -1,8 +1,7 @@
-#include "sched/place.hpp"
-
 #include <gtest/gtest.h>
 
 #include "sched/distribute.hpp"
+#include "sched/place.hpp"
 
 namespace finchrun::sched {
 namespace {
@@ -153,7 +152,7 @@
   d.need = {1, 0, 4};
   d.image_gb = 1;
   d.is_service = true;
-  d.expected_run_s = jobs::kNoEnd;
+  d.expected_run_s = jobs::kUnlimitedRunTimeS;
   struct Case {
     std::vector<Node> nodes;
     MachineId chosen;
@@ -228,7 +227,7 @@
                         Case{3, {room(0, 9), room(1, 8), room(2, 0)}, {2, 1, 0}}}) {
     jobs::JobSpec spec;
     spec.tasks = c.replicas;
-    spec.shape = jobs::Shape::standing;
+    spec.shape = jobs::Shape::service;
     spec.spread = true;
     std::vector<std::uint32_t> got(c.partitions.size());
     for (const auto& r : distribute(spec, c.partitions)) got[r.partition.index] += r.to - r.from;
--- a/tests/scheduling/preemption_test.cpp
+++ b/tests/scheduling/preemption_test.cpp
@@ -1,8 +1,7 @@
-#include "scheduling/preemption.hpp"
-
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
+#include "scheduling/preemption.hpp"
 
 namespace finchrun::scheduling {
 namespace {
@@ -16,8 +15,8 @@
 jobs::JobSpec spec(jobs::Shape shape, double checkpoint_s, double save_s, double expected_run_s) {
   jobs::JobSpec spec;
   spec.shape = shape;
-  spec.checkpoint_s = checkpoint_s;
-  spec.save_s = save_s;
+  spec.checkpoint_interval_s = checkpoint_s;
+  spec.checkpoint_save_s = save_s;
   spec.expected_run_s = expected_run_s;
   return spec;
 }
@@ -42,8 +41,8 @@
         CostCase{"with_checkpoint_loses_restart_time", spec(Shape::array, 60, 8, 600), 200, 13, 400},
         CostCase{"recently_started_costs_more", spec(Shape::array, 0, 0, 600), 10, 30, 590},
         CostCase{"running_longer_than_expected", spec(Shape::gang, 60, 8, 600), 900, 13, 61},
-        CostCase{"replica_costs_restart_gap", spec(Shape::standing, 0, 0, jobs::kNoEnd), 9000, 30,
-                 jobs::kNoEnd}),
+        CostCase{"replica_costs_restart_gap", spec(Shape::service, 0, 0, jobs::kUnlimitedRunTimeS), 9000, 30,
+                 jobs::kUnlimitedRunTimeS}),
     [](const auto& info) { return std::string(info.param.name); });
 
 // A stop takes 10 s with heartbeats every 3 s, in addition to the time to save a checkpoint.
@@ -60,7 +59,7 @@
     AssignmentWriter writer(deployment.state, deployment.partition);
     writer.add(job, deployment.assignments(tasks, attempt));
     PlannedTransaction transaction;
-    writer.finish(transaction);
+    writer.write_to(transaction);
     deployment.apply(transaction);
   }
   SinglePartition deployment;
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -10,7 +10,7 @@
 
 using assignments::single_partition_settings;
 using assignments::SinglePartition;
-using jobs::Range;
+using jobs::TaskRange;
 
 constexpr core::PartitionId kOwnPartition{0}, kOtherPartition{1};  // a.0 and b.0
 const core::TimePoint kNow(core::secs(100));
@@ -18,11 +18,11 @@
 struct MoveCase {
   const char* name;
   std::set<std::uint32_t> tasks;
-  std::vector<Range> after;
+  std::vector<TaskRange> after;
 };
 class MoveTasks : public testing::TestWithParam<MoveCase> {};
 TEST_P(MoveTasks, SplitsOnlyRangesOfTheSourcePartition) {
-  const std::vector<Range> before{{0, 4, kOwnPartition}, {4, 6, kOtherPartition}, {6, 8, kOwnPartition}};
+  const std::vector<TaskRange> before{{0, 4, kOwnPartition}, {4, 6, kOtherPartition}, {6, 8, kOwnPartition}};
   EXPECT_EQ(move_tasks(before, kOwnPartition, kOtherPartition, GetParam().tasks), GetParam().after);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -51,7 +51,7 @@
   jobs::Shape shape;
   double free_gpus;
   std::function<void(SinglePartition&, core::JobId)> change;
-  std::vector<Range> after;  // empty: no move
+  std::vector<TaskRange> after;  // empty: no move
 };
 class PlanRangeMove : public testing::TestWithParam<PlanCase> {
  protected:
@@ -85,7 +85,7 @@
     demand.job = id;
     demand.team = job.spec.team;
     demand.need = job.spec.need;
-    demand.gang = job.spec.gang();
+    demand.gang = job.spec.is_gang();
     demand.tasks = {0, 1, 2, 3};
     return {{kOwnPartition, demand}};
   }
@@ -128,7 +128,7 @@
                    assignments::AssignmentWriter writer(deployment.state, kOwnPartition);
                    ASSERT_TRUE(writer.add(id, deployment.assignments(1, 9)));
                    assignments::PlannedTransaction transaction;
-                   writer.finish(transaction);
+                   writer.write_to(transaction);
                    deployment.apply(transaction);
                  },
                  {}},
--- a/tests/scheduling/waiting_tasks_test.cpp
+++ b/tests/scheduling/waiting_tasks_test.cpp
@@ -1,7 +1,7 @@
-#include "scheduling/waiting_tasks.hpp"
-
 #include <gtest/gtest.h>
 
+#include "scheduling/waiting_tasks.hpp"
+
 namespace finchrun::scheduling {
 namespace {
 
@@ -53,7 +53,7 @@
 }
 
 TEST(WaitingTasks, EndedReplicaWaitsAgain) {
-  Records records(jobs::Shape::standing);
+  Records records(jobs::Shape::service);
   records.record("a.0/s1", placed_and_done(records, 0, 2));
   EXPECT_EQ(WaitingTasks(records.cache, records.job).first_tasks(kFirst, 100),
             (std::vector<std::uint32_t>{1, 2, 3, 4, 5}));
--- a/tests/wire/messages_test.cpp
+++ b/tests/wire/messages_test.cpp
@@ -1,9 +1,9 @@
-#include "wire/messages.hpp"
-
 #include <gtest/gtest.h>
 
 #include <boost/json.hpp>
 
+#include "wire/messages.hpp"
+
 namespace finchrun::wire {
 namespace {
 
@@ -23,7 +23,7 @@
   const auto& submission = std::get<Submission>(parsed);
   EXPECT_EQ(submission.id, "req-000412");
   EXPECT_EQ(submission.team, "vision");
-  EXPECT_TRUE(submission.spec.gang());
+  EXPECT_TRUE(submission.spec.is_gang());
   EXPECT_EQ(submission.spec.priority, jobs::Priority::high);
   EXPECT_EQ(submission.spec.tasks, 16u);
   EXPECT_DOUBLE_EQ(submission.spec.need.ram_gb, 64.0);
@@ -74,9 +74,9 @@
     const auto parsed = parse_submission(json::serialize(message));
     ASSERT_TRUE(std::holds_alternative<Submission>(parsed));
     const auto& spec = std::get<Submission>(parsed).spec;
-    EXPECT_TRUE(spec.standing());
-    EXPECT_FALSE(spec.gang());
-    EXPECT_EQ(spec.expected_run_s, jobs::kNoEnd);
+    EXPECT_TRUE(spec.is_service());
+    EXPECT_FALSE(spec.is_gang());
+    EXPECT_EQ(spec.expected_run_s, jobs::kUnlimitedRunTimeS);
   }
 }
 
