--- a/src/sched/distribute.cpp
+++ b/src/sched/distribute.cpp
@@ -1,10 +1,10 @@
+#include "sched/distribute.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <set>
 
-#include "sched/distribute.hpp"
-
 namespace finchrun::sched {
 namespace {
 
--- a/tests/controller/quota_usage_test.cpp
+++ b/tests/controller/quota_usage_test.cpp
@@ -1,7 +1,8 @@
+#include "controller/quota_usage.hpp"
+
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
-#include "controller/quota_usage.hpp"
 
 namespace finchrun::controller {
 namespace {
--- a/tests/gateway/admission_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -1,9 +1,9 @@
+#include "gateway/admission.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
 
-#include "gateway/admission.hpp"
-
 namespace finchrun::gateway {
 namespace {
 
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -1,7 +1,8 @@
+#include "sched/place.hpp"
+
 #include <gtest/gtest.h>
 
 #include "sched/distribute.hpp"
-#include "sched/place.hpp"
 
 namespace finchrun::sched {
 namespace {
--- a/tests/sched/preempt_test.cpp
+++ b/tests/sched/preempt_test.cpp
@@ -1,7 +1,8 @@
+#include "sched/preempt.hpp"
+
 #include <gtest/gtest.h>
 
 #include "jobs/job.hpp"
-#include "sched/preempt.hpp"
 
 namespace finchrun::sched {
 namespace {
--- a/tests/scheduling/preemption_test.cpp
+++ b/tests/scheduling/preemption_test.cpp
@@ -1,7 +1,8 @@
+#include "scheduling/preemption.hpp"
+
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
-#include "scheduling/preemption.hpp"
 
 namespace finchrun::scheduling {
 namespace {
--- a/tests/scheduling/usage_recorder_test.cpp
+++ b/tests/scheduling/usage_recorder_test.cpp
@@ -1,7 +1,8 @@
+#include "scheduling/usage_recorder.hpp"
+
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
-#include "scheduling/usage_recorder.hpp"
 
 namespace finchrun::scheduling {
 namespace {
--- a/tests/scheduling/waiting_tasks_test.cpp
+++ b/tests/scheduling/waiting_tasks_test.cpp
@@ -1,7 +1,7 @@
-#include <gtest/gtest.h>
-
 #include "scheduling/waiting_tasks.hpp"
 
+#include <gtest/gtest.h>
+
 namespace finchrun::scheduling {
 namespace {
 
--- a/tests/wire/messages_test.cpp
+++ b/tests/wire/messages_test.cpp
@@ -1,9 +1,9 @@
+#include "wire/messages.hpp"
+
 #include <gtest/gtest.h>
 
 #include <boost/json.hpp>
 
-#include "wire/messages.hpp"
-
 namespace finchrun::wire {
 namespace {
 
