--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -22,9 +22,9 @@
 
 constexpr double kUnlimited = std::numeric_limits<double>::infinity();
 
-/// A setting's value for an error line: on one line, and not too long.
-std::string shown(const View& value) {
-  constexpr std::size_t kMostCharacters = 60;
+/// Renders a setting's value for an error message, on one line and truncated.
+std::string render_value(const View& value) {
+  constexpr std::size_t kMaxCharacters = 60;
   std::ostringstream out;
   if (value) {
     value.visit([&](const auto& node) { out << node; });
@@ -33,38 +33,39 @@
   }
   std::string text = out.str();
   std::replace(text.begin(), text.end(), '\n', ' ');
-  return text.size() > kMostCharacters ? text.substr(0, kMostCharacters) + "..." : text;
+  return text.size() > kMaxCharacters ? text.substr(0, kMaxCharacters) + "..." : text;
 }
 
-// `where`, here and below: the table's path with a dot at its end, for error lines.
-std::string need_string(View table, const char* key, const std::string& where) {
+// In the readers below, `table_path` ends with a dot; error messages put it before the key.
+std::string require_string(View table, const char* key, const std::string& table_path) {
   auto value = table[key].value_exact<std::string>();
-  if (!value || value->empty()) throw SettingsError(where + key, shown(table[key]), "a name is needed");
+  if (!value || value->empty())
+    throw SettingsError(table_path + key, render_value(table[key]), "must be a non-empty string");
   return *value;
 }
 
-double number(View table, const char* key, const std::string& where, double fallback, double least,
-              double most) {
-  if (!table[key]) return fallback;
+double read_number(View table, const char* key, const std::string& table_path, double default_value,
+                   double min, double max) {
+  if (!table[key]) return default_value;
   auto value = table[key].value<double>();
-  if (!value || !std::isfinite(*value) || *value < least || *value > most || !table[key].is_number())
-    throw SettingsError(where + key, shown(table[key]), "a number in range is needed");
+  if (!value || !std::isfinite(*value) || *value < min || *value > max || !table[key].is_number())
+    throw SettingsError(table_path + key, render_value(table[key]), "must be a number in the allowed range");
   return *value;
 }
 
-/// A number of one table that goes into a field as it is; its default is the field's initializer.
-template <class Into>
+/// A numeric key of a table and the field that takes its value; the field's initializer is the default.
+template <class Record>
 struct NumberField {
   const char* key;
-  double Into::*field;
-  double least, most;
+  double Record::*field;
+  double min, max;
 };
 
-template <class Into, std::size_t count>
-void read_numbers(View table, const std::string& where, const NumberField<Into> (&fields)[count],
-                  Into& into) {
-  for (const auto& [key, field, least, most] : fields)
-    into.*field = number(table, key, where, into.*field, least, most);
+template <class Record, std::size_t count>
+void read_numbers(View table, const std::string& table_path, const NumberField<Record> (&fields)[count],
+                  Record& record) {
+  for (const auto& [key, field, min, max] : fields)
+    record.*field = read_number(table, key, table_path, record.*field, min, max);
 }
 
 constexpr NumberField<Team> kTeamFields[] = {
@@ -96,34 +97,35 @@
     {"value_kb", &StateLimits::value_kb, 1, 1e6},
 };
 
-Endpoint need_endpoint(View table, const char* key, const std::string& where) {
-  auto text = need_string(table, key, where);
+Endpoint require_endpoint(View table, const char* key, const std::string& table_path) {
+  auto text = require_string(table, key, table_path);
   auto endpoint = parse_endpoint(text);
-  if (!endpoint) throw SettingsError(where + key, text, "an IPv4 address with a port is needed");
+  if (!endpoint) throw SettingsError(table_path + key, text, "must be an IPv4 address with a port");
   return *endpoint;
 }
 
-/// The fields of one table; those that are missing keep the values of `limits`.
-StateLimits read_state_limits(View table, const std::string& where, StateLimits limits) {
-  read_numbers(table, where, kStateLimitFields, limits);
+/// Reads the limits of one table; missing keys keep the values of `limits`.
+StateLimits read_state_limits(View table, const std::string& table_path, StateLimits limits) {
+  read_numbers(table, table_path, kStateLimitFields, limits);
   limits.transaction_writes =
-      static_cast<int>(number(table, "txn_ops", where, limits.transaction_writes, 4, 1e6));
+      static_cast<int>(read_number(table, "txn_ops", table_path, limits.transaction_writes, 4, 1e6));
   return limits;
 }
 
-/// The smaller of the present limits and of those announced in `next`.
-StateLimits state_limits(View table) {
-  const std::string where = "deployment.state.";
-  const auto present = read_state_limits(table, where, {});
+/// Returns the smaller of the current limits and those announced in `next`, field by field.
+StateLimits effective_state_limits(View table) {
+  const std::string table_path = "deployment.state.";
+  const auto current = read_state_limits(table, table_path, {});
   const View announced = table["next"];
-  if (!announced) return present;
-  if (!announced.is_table()) throw SettingsError(where + "next", shown(announced), "a table is needed");
-  const auto next = read_state_limits(announced, where + "next.", present);
+  if (!announced) return current;
+  if (!announced.is_table())
+    throw SettingsError(table_path + "next", render_value(announced), "must be a table");
+  const auto next = read_state_limits(announced, table_path + "next.", current);
   StateLimits smaller;
-  smaller.requests_per_s = std::min(present.requests_per_s, next.requests_per_s);
-  smaller.writes_per_s = std::min(present.writes_per_s, next.writes_per_s);
-  smaller.value_kb = std::min(present.value_kb, next.value_kb);
-  smaller.transaction_writes = std::min(present.transaction_writes, next.transaction_writes);
+  smaller.requests_per_s = std::min(current.requests_per_s, next.requests_per_s);
+  smaller.writes_per_s = std::min(current.writes_per_s, next.writes_per_s);
+  smaller.value_kb = std::min(current.value_kb, next.value_kb);
+  smaller.transaction_writes = std::min(current.transaction_writes, next.transaction_writes);
   return smaller;
 }
 
@@ -137,7 +139,7 @@
   }
 }
 
-/// One item for each of the array's, by `read`; none if the key is missing or no array.
+/// Reads each element of an array with `read`. Returns no items if the key is missing or not an array.
 template <class Item, class Read>
 std::vector<Item> read_array(View table, const char* key, Read read) {
   std::vector<Item> items;
@@ -149,74 +151,76 @@
 }
 
 Member read_member(View table) {
-  const std::string where = "members.";
-  return {need_string(table, "label", where), need_string(table, "domain", where),
-          need_endpoint(table, "endpoint", where)};
+  const std::string table_path = "members.";
+  return {require_string(table, "label", table_path), require_string(table, "domain", table_path),
+          require_endpoint(table, "endpoint", table_path)};
 }
 
 std::string read_zone(View value) {
   auto name = value.value_exact<std::string>();
-  if (!name) throw SettingsError("deployment.zones", shown(value), "a name is needed");
+  if (!name) throw SettingsError("deployment.zones", render_value(value), "must be a string");
   return *name;
 }
 
 Team read_team(View table) {
-  const std::string where = "deployment.teams.";
+  const std::string table_path = "deployment.teams.";
   Team team;
-  team.name = need_string(table, "name", where);
-  read_numbers(table, where, kTeamFields, team);
+  team.name = require_string(table, "name", table_path);
+  read_numbers(table, table_path, kTeamFields, team);
   return team;
 }
 
 Objective read_objective(View table) {
-  const std::string where = "deployment.objectives.";
+  const std::string table_path = "deployment.objectives.";
   Objective objective;
-  objective.kind = need_string(table, "kind", where);
+  objective.kind = require_string(table, "kind", table_path);
   objective.job_class = table["class"].value_or(std::string());
-  read_numbers(table, where, kObjectiveFields, objective);
+  read_numbers(table, table_path, kObjectiveFields, objective);
   return objective;
 }
 
-/// The `deployment` table, which is alike for all controllers. `settings.members` is read before it.
+/// Reads the `deployment` table, which is the same for all controllers. `settings.members` is set before.
 void read_deployment(View table, Settings& settings) {
   settings.nodes = static_cast<int>(
-      number(table, "nodes", "deployment.", static_cast<double>(settings.members.size() + 1), 1, 99));
+      read_number(table, "nodes", "deployment.", static_cast<double>(settings.members.size() + 1), 1, 99));
   settings.zones = read_array<std::string>(table, "zones", read_zone);
   if (settings.zones.empty())
-    throw SettingsError("deployment.zones", shown(table["zones"]), "a list of zones is needed");
+    throw SettingsError("deployment.zones", render_value(table["zones"]),
+                        "must be a non-empty list of zones");
   constexpr double kMsPerS = 1000;
-  settings.clock_error_s = number(table, "clock_error_ms", "deployment.", 0, 0, 1e6) / kMsPerS;
+  settings.clock_error_s = read_number(table, "clock_error_ms", "deployment.", 0, 0, 1e6) / kMsPerS;
   settings.teams = read_array<Team>(table, "teams", read_team);
   if (settings.teams.empty())
-    throw SettingsError("deployment.teams", shown(table["teams"]), "a list of teams is needed");
+    throw SettingsError("deployment.teams", render_value(table["teams"]),
+                        "must be a non-empty list of teams");
   settings.objectives = read_array<Objective>(table, "objectives", read_objective);
   read_numbers(table["workers"], "deployment.workers.", kAgentFields, settings);
-  // Nearer, no leader could answer an agent without risking that a cancelled task outlives cancel_s.
+  // With a smaller window every answer of a leader to an agent risks that a cancelled task outlives cancel_s.
   if (settings.renewal_window_s() < 1)
     throw SettingsError("deployment.workers.cancel_s", fmt::format("{}", settings.cancel_s),
-                        fmt::format("too near lease_s = {}", settings.lease_s));
-  settings.state_limits = state_limits(table["state"]);
+                        fmt::format("too close to lease_s = {}", settings.lease_s));
+  settings.state_limits = effective_state_limits(table["state"]);
   read_numbers(table["cloud"], "deployment.cloud.", kCloudFields, settings);
   read_numbers(table["quota"], "deployment.quota.", kProcessFields, settings);
   settings.max_sockets = static_cast<int>(
-      number(table["quota"], "fd_limit", "deployment.quota.", settings.max_sockets, 16, 1e7));
+      read_number(table["quota"], "fd_limit", "deployment.quota.", settings.max_sockets, 16, 1e7));
 }
 
-/// One of the operators' properties: its name, where it goes, and its range.
+/// One of the operators' properties: its name, the field that takes its value, and its range.
 struct Property {
   const char* name;
   std::variant<double Tuning::*, int Tuning::*> field;
-  double least, most;
-  const char* rule;  // what the error line says
+  double min, max;
+  const char* requirement;  // for the error message
 };
 
-// More than nothing.
-constexpr double kAboveZero = std::numeric_limits<double>::denorm_min();
+// The lower bound of ranges that exclude 0.
+constexpr double kSmallestPositive = std::numeric_limits<double>::denorm_min();
 
 constexpr Property kProperties[] = {
     {"usage.window_s", &Tuning::window_s, 1, 3600, "must be 1 to 3600"},
     {"usage.windows", &Tuning::windows, 1, 1000, "must be 1 to 1000"},
-    {"usage.decay", &Tuning::decay, kAboveZero, 1, "must be above 0 and at most 1"},
+    {"usage.decay", &Tuning::decay, kSmallestPositive, 1, "must be above 0 and at most 1"},
     {"rank.image_factor", &Tuning::image_factor, 0, kUnlimited, "must not be negative"},
     {"rank.size_factor", &Tuning::size_factor, 0, kUnlimited, "must not be negative"},
     {"rank.usage_factor", &Tuning::usage_factor, 0, kUnlimited, "must not be negative"},
@@ -231,26 +235,26 @@
     {"gather.patience_s", &Tuning::gang_reservation_delay_s, 0, kUnlimited, "must not be negative"},
 };
 
-void require(bool holds, const char* name, double value, const char* rule) {
-  if (holds) return;
-  std::ostringstream shown_value;
-  shown_value << value;
-  throw SettingsError(name, shown_value.str(), rule);
+void require(bool is_valid, const char* name, double value, const char* requirement) {
+  if (is_valid) return;
+  std::ostringstream rendered_value;
+  rendered_value << value;
+  throw SettingsError(name, rendered_value.str(), requirement);
 }
 
 void read_property(const Poco::Util::PropertyFileConfiguration& file, const Property& property,
                    Tuning& tuning) {
   if (!file.has(property.name)) return;
-  const bool whole = std::holds_alternative<int Tuning::*>(property.field);
+  const bool is_integer = std::holds_alternative<int Tuning::*>(property.field);
   try {
-    if (whole) {
+    if (is_integer) {
       tuning.*std::get<int Tuning::*>(property.field) = file.getInt(property.name);
     } else {
       tuning.*std::get<double Tuning::*>(property.field) = file.getDouble(property.name);
     }
   } catch (const Poco::Exception&) {
     throw SettingsError(property.name, file.getRawString(property.name),
-                        whole ? "a whole number is needed" : "a number is needed");
+                        is_integer ? "must be an integer" : "must be a number");
   }
 }
 
@@ -276,13 +280,13 @@
   const toml::node& root_node = document;
   const View root(&root_node);
   Settings settings;
-  settings.label = need_string(root, "label", "");
-  settings.zone = need_string(root, "domain", "");
-  settings.listen = need_endpoint(root, "bind", "");
-  settings.peer_listen = need_endpoint(root, "peer_listen", "");
+  settings.label = require_string(root, "label", "");
+  settings.zone = require_string(root, "domain", "");
+  settings.listen = require_endpoint(root, "bind", "");
+  settings.peer_listen = require_endpoint(root, "peer_listen", "");
   settings.members = read_array<Member>(root, "members", read_member);
-  settings.cloud = need_endpoint(root["endpoints"], "cloud", "endpoints.");
-  settings.state = need_endpoint(root["endpoints"], "state", "endpoints.");
+  settings.cloud = require_endpoint(root["endpoints"], "cloud", "endpoints.");
+  settings.state = require_endpoint(root["endpoints"], "state", "endpoints.");
   read_deployment(root["deployment"], settings);
   return settings;
 }
@@ -291,11 +295,11 @@
   for (const auto& property : kProperties) {
     const double value =
         std::visit([&](auto field) { return static_cast<double>(tuning.*field); }, property.field);
-    require(value >= property.least && value <= property.most, property.name, value, property.rule);
+    require(value >= property.min && value <= property.max, property.name, value, property.requirement);
   }
-  constexpr double kRounding = 1e-6;
+  constexpr double kTolerance = 1e-6;
   const double sum = tuning.image_factor + tuning.size_factor + tuning.usage_factor;
-  require(std::abs(sum - 1) < kRounding, "rank.image_factor+size_factor+usage_factor", sum, "must sum to 1");
+  require(std::abs(sum - 1) < kTolerance, "rank.image_factor+size_factor+usage_factor", sum, "must sum to 1");
   require(tuning.sync_least_s <= tuning.sync_s, "state.sync_least_s", tuning.sync_least_s,
           "must be 0.01 to state.sync_s");
 }
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,4 @@
-// The platform's settings file (TOML) and the operators' own properties.
+// The platform's settings file (TOML) and the operators' properties file.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace finchrun::config {
 
-/// One line naming the field and the value; the program ends with status 2.
+/// Reports an invalid setting on one line with its field and value; the program exits with status 2.
 struct SettingsError : std::runtime_error {
   SettingsError(const std::string& field, const std::string& value, const std::string& why)
       : std::runtime_error("bad setting: " + field + " = " + value + ": " + why) {}
@@ -23,20 +23,20 @@
   std::uint16_t port = 0;
   [[nodiscard]] std::string text() const { return host + ":" + std::to_string(port); }
 };
-/// Nothing unless the text is an IPv4 address with a port.
+/// Returns nullopt unless the text is an IPv4 address with a port.
 std::optional<Endpoint> parse_endpoint(const std::string& text);
 
-/// Another controller, as the settings name it.
+/// Another controller of the deployment.
 struct Member {
   std::string label;
   std::string zone;
-  Endpoint peer;
+  Endpoint peer_endpoint;
 };
 
 /// A team's guarantee and limit.
 struct Team {
   std::string name;
-  double cpus = 0, cpus_max = 0;  // 0: none guaranteed, no limit
+  double cpus = 0, cpus_max = 0;  // guarantee and limit; 0 means none
   double gpus = 0, gpus_max = 0;
 };
 
@@ -48,27 +48,26 @@
   double share = 0;
 };
 
-/// What the key-value store takes. All of it is computed here once; nothing else reads the settings' own
-/// fields.
+/// Limits that the key-value store enforces. Derived limits are computed only here.
 struct StateLimits {
   double requests_per_s = 100;
   double writes_per_s = 20;  // puts and deletes
   double value_kb = 8;       // of one value
   int transaction_writes = 16;
 
-  // What one value may hold, with a reserve for what its size was not computed from.
+  // The size limit of one value, less a reserve of 5% for content that size estimates omit.
   [[nodiscard]] std::size_t value_bytes() const { return static_cast<std::size_t>(value_kb * 1024 * 0.95); }
   [[nodiscard]] std::size_t max_writes() const { return static_cast<std::size_t>(transaction_writes); }
   [[nodiscard]] std::size_t max_compares() const { return 4 * max_writes(); }
-  // Most values of full size that one transaction may hold: its body is limited too.
+  // The most values of full size in one transaction, whose body is limited as well.
   [[nodiscard]] std::size_t max_full_values() const {
-    constexpr double kBodyKb =
-        40;  // of the 64 that the protocol allows, besides conditions and one more value
-    return std::max<std::size_t>(1, static_cast<std::size_t>(kBodyKb / value_kb));
+    // Of the 64 KB that the protocol allows, the rest is for conditions and one more value.
+    constexpr double kMaxBodyKb = 40;
+    return std::max<std::size_t>(1, static_cast<std::size_t>(kMaxBodyKb / value_kb));
   }
 };
 
-/// The platform's settings, read once at start. Names of the file: see the README's table.
+/// The platform's settings, read once at start. The README lists their names in the file.
 struct Settings {
   std::string label;
   std::string zone;
@@ -83,16 +82,16 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   double report_s = 3, lease_s = 30, gang_wait_s = 40, gang_peer_s = 6, cancel_s = 60;
-  // The smaller of the present limits and of those announced in `state.next`, whose moment is unknown.
+  // The smaller of the current limits and those announced in `state.next`, which may apply at any time.
   StateLimits state_limits;
   double cloud_rps = 5, cloud_list_lag_s = 5;
   double core_share = 1, ram_mb = 0;
   int max_sockets = 1000;
 
-  /// How old a leader's knowledge of cancellations may be while it still answers agents (rule
-  /// `ran_cancelled`). A job may have been cancelled elsewhere the moment after; an agent that is answered
-  /// last keeps its tasks for another lease, counted from its heartbeat. 1% of a lease is for drift, the rest
-  /// for what is not foreseen.
+  /// Returns how old a leader's knowledge of cancellations may be while it still answers agents (rule
+  /// `ran_cancelled`). Another controller may cancel a job just after that knowledge was current, and an
+  /// agent that is answered at the last moment keeps its tasks for another lease, counted from its heartbeat.
+  /// 1% of a lease covers clock drift; the reserve covers other delays.
   [[nodiscard]] double renewal_window_s() const {
     constexpr double kLeaseWithDrift = 1.01, kReserveS = 3.0;
     return cancel_s - lease_s * kLeaseWithDrift - kReserveS;
@@ -102,23 +101,23 @@
 /// Reads and checks the settings file. Throws SettingsError.
 Settings load_settings(const std::string& path);
 
-/// The operators' own settings. Defaults marked (paper) are the design's starting values.
+/// The operators' settings.
 struct Tuning {
-  double window_s = 30;       // (paper) usage window
-  int windows = 12;           // (paper) windows kept
-  double decay = 0.8;         // (paper) decay per window
-  double image_factor = 0.3;  // (paper) the three factors sum to 1
+  double window_s = 30;       // length of a usage window
+  int windows = 12;           // usage windows kept
+  double decay = 0.8;         // weight of a window relative to the next newer one
+  double image_factor = 0.3;  // the three factors sum to 1
   double size_factor = 0.1;
   double usage_factor = 0.6;
-  double round_s = 2;           // (paper) placing round
-  int partitions_per_zone = 0;  // 0: controllers over zones, at least 1
-  double member_ttl_s = 3;      // store lease of a controller's membership
-  double flush_s = 0.25;        // batching of records into writes
-  double sync_s = 0.25;         // longest wait between reads of the store's changes
-  double sync_least_s = 0.12;   // shortest, while users wait for one
-  double idle_return_s = 600;   // a rented machine idle for this long is returned
-  int scale_out_batch = 4;      // most machines asked for in one rental request, while half the need is less
-  double gang_reservation_delay_s = 10;  // a gang that has waited for longer has room kept for it
+  double round_s = 2;                    // interval of scheduling rounds
+  int partitions_per_zone = 0;           // 0 means controllers / (2 * zones), at least 1
+  double member_ttl_s = 3;               // store lease of a controller's membership
+  double flush_s = 0.25;                 // interval at which records are batched into writes
+  double sync_s = 0.25;                  // longest interval between reads of the store's changes
+  double sync_least_s = 0.12;            // shortest interval, while users wait for a read
+  double idle_return_s = 600;            // a rented machine that is idle longer is released
+  int scale_out_batch = 4;               // most machines per scale-out request, unless half the need is more
+  double gang_reservation_delay_s = 10;  // a gang that waits longer gets a reservation
 };
 
 /// Reads and checks the properties file. Throws SettingsError.
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -10,7 +10,7 @@
 namespace finchrun::config {
 namespace {
 
-const std::string kGood = R"(label = "perch-0"
+const std::string kValidSettings = R"(label = "perch-0"
 domain = "a"
 bind = "127.0.0.1:8080"
 peer_listen = "127.0.0.1:8081"
@@ -33,163 +33,164 @@
 report_s = 3.0
 )";
 
-struct File {
-  explicit File(const std::string& text)
+struct TemporaryFile {
+  explicit TemporaryFile(const std::string& text)
       : path(testing::TempDir() + "finchrun_settings_" + std::to_string(::getpid())) {
     std::ofstream(path) << text;
   }
-  ~File() { std::remove(path.c_str()); }
+  ~TemporaryFile() { std::remove(path.c_str()); }
   std::string path;
 };
 
-std::string replaced(std::string text, const std::string& from, const std::string& to) {
+std::string with_replacement(std::string text, const std::string& from, const std::string& to) {
   const auto at = text.find(from);
   EXPECT_NE(at, std::string::npos);
   return text.replace(at, from.size(), to);
 }
 
-// One line names the field and the value.
-void expect_refused(const File& f, const std::string& field) {
+// Expects an error message on one line that names the field.
+void expect_rejected(const TemporaryFile& file, const std::string& field) {
   try {
-    load_settings(f.path);
+    load_settings(file.path);
     FAIL() << "accepted";
-  } catch (const SettingsError& e) {
-    const std::string line = e.what();
+  } catch (const SettingsError& error) {
+    const std::string line = error.what();
     EXPECT_NE(line.find(field), std::string::npos) << line;
     EXPECT_EQ(line.find('\n'), std::string::npos) << line;
   }
 }
 
-TEST(Settings, ReadsThePlatformsFile) {
-  File f(kGood);
-  const auto s = load_settings(f.path);
-  EXPECT_EQ(s.label, "perch-0");
-  EXPECT_EQ(s.listen.port, 8080);
-  ASSERT_EQ(s.members.size(), 1u);
-  EXPECT_EQ(s.members[0].zone, "b");
-  EXPECT_DOUBLE_EQ(s.teams.at(0).gpus_max, 8);
-  EXPECT_DOUBLE_EQ(s.report_s, 3);
+TEST(Settings, ReadsAValidFile) {
+  TemporaryFile file(kValidSettings);
+  const auto settings = load_settings(file.path);
+  EXPECT_EQ(settings.label, "perch-0");
+  EXPECT_EQ(settings.listen.port, 8080);
+  ASSERT_EQ(settings.members.size(), 1u);
+  EXPECT_EQ(settings.members[0].zone, "b");
+  EXPECT_DOUBLE_EQ(settings.teams.at(0).gpus_max, 8);
+  EXPECT_DOUBLE_EQ(settings.report_s, 3);
 }
 
-struct Announced {
+struct LimitsCase {
   const char* name;
-  const char* state;  // the table's text
+  const char* state;  // TOML text of the table
   StateLimits limits;
 };
-class StateLimitsOf : public testing::TestWithParam<Announced> {};
-// The moment at which the announced limits hold is unknown, so the smaller of both count from the start.
-TEST_P(StateLimitsOf, AreTheSmallerOfPresentAndAnnounced) {
-  File f(kGood + GetParam().state);
-  const auto limits = load_settings(f.path).state_limits;
+class EffectiveStateLimits : public testing::TestWithParam<LimitsCase> {};
+// The announced limits may apply at any time, so the smaller ones count from the start.
+TEST_P(EffectiveStateLimits, AreTheSmallerOfCurrentAndAnnounced) {
+  TemporaryFile file(kValidSettings + GetParam().state);
+  const auto limits = load_settings(file.path).state_limits;
   EXPECT_DOUBLE_EQ(limits.requests_per_s, GetParam().limits.requests_per_s);
   EXPECT_DOUBLE_EQ(limits.writes_per_s, GetParam().limits.writes_per_s);
   EXPECT_DOUBLE_EQ(limits.value_kb, GetParam().limits.value_kb);
   EXPECT_EQ(limits.transaction_writes, GetParam().limits.transaction_writes);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Table, StateLimitsOf,
+    Table, EffectiveStateLimits,
     testing::Values(
-        Announced{
+        LimitsCase{
             "nothing_announced", "[deployment.state]\nrps = 150.0\nwrite_rps = 50.0\n", {150, 50, 8, 16}},
-        Announced{"all_of_it",
-                  "[deployment.state]\nrps = 150.0\nwrite_rps = 50.0\n[deployment.state.next]\nrps = 90.0\n"
-                  "write_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 5\n",
-                  {90, 35, 2, 5}},
-        Announced{"some_of_it",
-                  "[deployment.state]\nvalue_kb = 6.0\n[deployment.state.next]\ntxn_ops = 5\n",
-                  {100, 20, 6, 5}},
-        Announced{"larger_ones_do_not_count_yet",
-                  "[deployment.state]\ntxn_ops = 8\n[deployment.state.next]\ntxn_ops = 32\nvalue_kb = 1.0\n",
-                  {100, 20, 1, 8}}),
+        LimitsCase{"all_limits_announced",
+                   "[deployment.state]\nrps = 150.0\nwrite_rps = 50.0\n[deployment.state.next]\nrps = 90.0\n"
+                   "write_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 5\n",
+                   {90, 35, 2, 5}},
+        LimitsCase{"one_limit_announced",
+                   "[deployment.state]\nvalue_kb = 6.0\n[deployment.state.next]\ntxn_ops = 5\n",
+                   {100, 20, 6, 5}},
+        LimitsCase{"larger_announced_limits_are_ignored",
+                   "[deployment.state]\ntxn_ops = 8\n[deployment.state.next]\ntxn_ops = 32\nvalue_kb = 1.0\n",
+                   {100, 20, 1, 8}}),
     [](const auto& info) { return std::string(info.param.name); });
 
-struct BadAnnounced {
+struct InvalidAnnouncement {
   const char *next, *field;
 };
-class BadStateLimits : public testing::TestWithParam<BadAnnounced> {};
-TEST_P(BadStateLimits, NameFieldOnOneLine) {
-  File f(kGood + "[deployment.state]\n" + GetParam().next);
-  expect_refused(f, GetParam().field);
+class InvalidStateLimits : public testing::TestWithParam<InvalidAnnouncement> {};
+TEST_P(InvalidStateLimits, AreReportedWithTheFieldOnOneLine) {
+  TemporaryFile file(kValidSettings + "[deployment.state]\n" + GetParam().next);
+  expect_rejected(file, GetParam().field);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Table, BadStateLimits,
-    testing::Values(BadAnnounced{"next = 3\n", "deployment.state.next = 3"},
-                    BadAnnounced{"next = [2]\n", "deployment.state.next"},
-                    BadAnnounced{"next = { value_kb = \"x\" }\n", "deployment.state.next.value_kb"},
-                    BadAnnounced{"next = { value_kb = 0.0 }\n", "deployment.state.next.value_kb = 0"},
-                    BadAnnounced{"next = { txn_ops = 3 }\n", "deployment.state.next.txn_ops = 3"},
-                    BadAnnounced{"next = { rps = -1 }\n", "deployment.state.next.rps"},
-                    BadAnnounced{"next = { write_rps = nan }\n", "deployment.state.next.write_rps"}));
+    Table, InvalidStateLimits,
+    testing::Values(InvalidAnnouncement{"next = 3\n", "deployment.state.next = 3"},
+                    InvalidAnnouncement{"next = [2]\n", "deployment.state.next"},
+                    InvalidAnnouncement{"next = { value_kb = \"x\" }\n", "deployment.state.next.value_kb"},
+                    InvalidAnnouncement{"next = { value_kb = 0.0 }\n", "deployment.state.next.value_kb = 0"},
+                    InvalidAnnouncement{"next = { txn_ops = 3 }\n", "deployment.state.next.txn_ops = 3"},
+                    InvalidAnnouncement{"next = { rps = -1 }\n", "deployment.state.next.rps"},
+                    InvalidAnnouncement{"next = { write_rps = nan }\n", "deployment.state.next.write_rps"}));
 
-struct Bad {
+struct InvalidSetting {
   const char *from, *to, *field;
 };
-class BadSettings : public testing::TestWithParam<Bad> {};
-TEST_P(BadSettings, NameFieldOnOneLine) {
-  File f(replaced(kGood, GetParam().from, GetParam().to));
-  expect_refused(f, GetParam().field);
+class InvalidSettings : public testing::TestWithParam<InvalidSetting> {};
+TEST_P(InvalidSettings, AreReportedWithTheFieldOnOneLine) {
+  TemporaryFile file(with_replacement(kValidSettings, GetParam().from, GetParam().to));
+  expect_rejected(file, GetParam().field);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Table, BadSettings,
-    testing::Values(Bad{"label = \"perch-0\"\n", "", "label"},
-                    Bad{"bind = \"127.0.0.1:8080\"", "bind = \"here:8080\"", "bind"},
-                    Bad{"bind = \"127.0.0.1:8080\"", "bind = \"127.0.0.1:0\"", "bind"},
-                    Bad{"state = \"127.0.0.1:2\"", "state = 2", "endpoints.state"},
-                    Bad{"nodes = 2", "nodes = 0", "deployment.nodes"},
-                    Bad{"zones = [\"a\", \"b\"]", "zones = []", "deployment.zones"},
-                    Bad{"gpus = 4.0", "gpus = -1", "deployment.teams.gpus"},
-                    Bad{"gpus = 4.0", "gpus = nan", "deployment.teams.gpus"},
-                    Bad{"report_s = 3.0", "report_s = \"x\"", "deployment.workers.report_s"},
-                    Bad{"report_s = 3.0", "report_s = 3.0\nlease_s = 45.0\ncancel_s = 49.4",
-                        "deployment.workers.cancel_s"},
-                    Bad{"[deployment]", "[deployment", "file"}));
+    Table, InvalidSettings,
+    testing::Values(InvalidSetting{"label = \"perch-0\"\n", "", "label"},
+                    InvalidSetting{"bind = \"127.0.0.1:8080\"", "bind = \"here:8080\"", "bind"},
+                    InvalidSetting{"bind = \"127.0.0.1:8080\"", "bind = \"127.0.0.1:0\"", "bind"},
+                    InvalidSetting{"state = \"127.0.0.1:2\"", "state = 2", "endpoints.state"},
+                    InvalidSetting{"nodes = 2", "nodes = 0", "deployment.nodes"},
+                    InvalidSetting{"zones = [\"a\", \"b\"]", "zones = []", "deployment.zones"},
+                    InvalidSetting{"gpus = 4.0", "gpus = -1", "deployment.teams.gpus"},
+                    InvalidSetting{"gpus = 4.0", "gpus = nan", "deployment.teams.gpus"},
+                    InvalidSetting{"report_s = 3.0", "report_s = \"x\"", "deployment.workers.report_s"},
+                    InvalidSetting{"report_s = 3.0", "report_s = 3.0\nlease_s = 45.0\ncancel_s = 49.4",
+                                   "deployment.workers.cancel_s"},
+                    InvalidSetting{"[deployment]", "[deployment", "file"}));
 
-// What an agent's lease leaves of cancel_s, less drift and a reserve.
-TEST(Settings, RenewalWindowIsWhatTheLeaseLeavesOfACancellation) {
-  struct Case {
+// The window is cancel_s less the agent lease, an allowance for clock drift and a reserve.
+TEST(Settings, RenewalWindowIsCancellationDeadlineLessLeaseDriftAndReserve) {
+  struct WindowCase {
     double lease_s, cancel_s, window_s;
   };
-  for (const auto& c : {Case{10, 30, 16.9}, Case{15.25, 35.25, 16.8475}, Case{45, 70, 21.55}}) {
-    Settings s;
-    s.lease_s = c.lease_s;
-    s.cancel_s = c.cancel_s;
-    EXPECT_NEAR(s.renewal_window_s(), c.window_s, 1e-9);
+  for (const auto& test_case :
+       {WindowCase{10, 30, 16.9}, WindowCase{15.25, 35.25, 16.8475}, WindowCase{45, 70, 21.55}}) {
+    Settings settings;
+    settings.lease_s = test_case.lease_s;
+    settings.cancel_s = test_case.cancel_s;
+    EXPECT_NEAR(settings.renewal_window_s(), test_case.window_s, 1e-9);
   }
 }
 
-struct Property {
-  const char *text, *field;  // no field: accepted
+struct PropertyCase {
+  const char *text, *field;  // the field is null if the text is valid
 };
-class Properties : public testing::TestWithParam<Property> {};
+class Properties : public testing::TestWithParam<PropertyCase> {};
 TEST_P(Properties, AreChecked) {
-  File f(GetParam().text);
+  TemporaryFile file(GetParam().text);
   if (!GetParam().field) {
-    EXPECT_NO_THROW(load_properties(f.path));
+    EXPECT_NO_THROW(load_properties(file.path));
     return;
   }
   try {
-    load_properties(f.path);
+    load_properties(file.path);
     FAIL() << "accepted";
-  } catch (const SettingsError& e) {
-    EXPECT_NE(std::string(e.what()).find(GetParam().field), std::string::npos) << e.what();
+  } catch (const SettingsError& error) {
+    EXPECT_NE(std::string(error.what()).find(GetParam().field), std::string::npos) << error.what();
   }
 }
 INSTANTIATE_TEST_SUITE_P(Table, Properties,
-                         testing::Values(Property{"# nothing\n", nullptr},
-                                         Property{"usage.windows = 6\nusage.decay: 0.5\n", nullptr},
-                                         Property{"usage.decay = 1.5\n", "usage.decay"},
-                                         Property{"usage.windows = many\n", "usage.windows"},
-                                         Property{"rank.image_factor = 0.5\n", "rank.image_factor"},
-                                         Property{"round_s = 0\n", "round_s"},
-                                         Property{"usage.window_s = -3\n", "usage.window_s"}));
+                         testing::Values(PropertyCase{"# nothing\n", nullptr},
+                                         PropertyCase{"usage.windows = 6\nusage.decay: 0.5\n", nullptr},
+                                         PropertyCase{"usage.decay = 1.5\n", "usage.decay"},
+                                         PropertyCase{"usage.windows = many\n", "usage.windows"},
+                                         PropertyCase{"rank.image_factor = 0.5\n", "rank.image_factor"},
+                                         PropertyCase{"round_s = 0\n", "round_s"},
+                                         PropertyCase{"usage.window_s = -3\n", "usage.window_s"}));
 
-TEST(Properties, DefaultsAreTheDesigns) {
-  const Tuning t;
-  EXPECT_NO_THROW(check(t));
-  EXPECT_DOUBLE_EQ(t.window_s, 30);
-  EXPECT_EQ(t.windows, 12);
-  EXPECT_DOUBLE_EQ(t.decay, 0.8);
-  EXPECT_DOUBLE_EQ(t.round_s, 2);
+TEST(Properties, DefaultsAreValidAndMatchTheDesign) {
+  const Tuning tuning;
+  EXPECT_NO_THROW(check(tuning));
+  EXPECT_DOUBLE_EQ(tuning.window_s, 30);
+  EXPECT_EQ(tuning.windows, 12);
+  EXPECT_DOUBLE_EQ(tuning.decay, 0.8);
+  EXPECT_DOUBLE_EQ(tuning.round_s, 2);
 }
 
 }  // namespace
