--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -35,12 +35,12 @@
       autoscaler_(runtime_, state_, cloud_, round_.backlog()) {}
 
 void Controller::listen() {
-  // Sockets that are kept for connections of our own: to the store, the cloud, agents and other controllers.
-  const int reserve = 60 + 2 * static_cast<int>(settings_.members.size());
-  constexpr int kLeastConnections = 16;
+  // Sockets reserved for outgoing connections: to the store, the cloud, agents and other controllers.
+  const int reserved_sockets = 60 + 2 * static_cast<int>(settings_.members.size());
+  constexpr int kMinConnections = 16;
   runtime_.run_forever(http::serve(
       settings_.listen, [this](http::Request request) { return handle(std::move(request)); },
-      std::max(kLeastConnections, settings_.max_sockets - reserve)));
+      std::max(kMinConnections, settings_.max_sockets - reserved_sockets)));
   constexpr int kConnectionsPerPeer = 20;
   runtime_.run_forever(peer::serve(
       settings_.peer_listen, [this](std::string frame) { return handle_peer(std::move(frame)); },
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -1,4 +1,4 @@
-// Wires the components of one controller together.
+// Connects the components of one controller.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,12 +24,12 @@
              std::vector<std::unique_ptr<peer::Link>> links);
   /// Starts the loops; they run until the context ends.
   void start();
-  /// Binds the addresses of users and agents, and of the other controllers. Throws when that fails.
+  /// Binds the address for users and agents and the one for other controllers. Throws if that fails.
   void listen();
 
-  /// The interface of users, agents and health checks.
+  /// Handles a request of a user, an agent or a health check.
   asio::awaitable<http::Response> handle(http::Request request);
-  /// The other controllers' interface: a frame in, a frame out.
+  /// Handles a frame from another controller and returns the response frame.
   asio::awaitable<std::string> handle_peer(std::string frame);
 
  private:
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -15,8 +15,8 @@
   std::string settings_path, properties_path;
   bool check_only = false;
   cli.add_option("--config", settings_path, "the platform's settings file (TOML)")->required();
-  cli.add_option("--properties", properties_path, "the operators' own settings (Java-style properties)");
-  cli.add_flag("--check", check_only, "check the settings and end");
+  cli.add_option("--properties", properties_path, "the operators' settings file (Java-style properties)");
+  cli.add_flag("--check", check_only, "check the settings and exit");
   cli.set_version_flag("--version", std::string("finchrun ") + FINCHRUN_VERSION);
   try {
     cli.parse(argc, argv);
@@ -47,8 +47,8 @@
     std::vector<std::unique_ptr<peer::Link>> links;
     auto deadlines = std::make_shared<core::Deadlines>(io.get_executor(), std::chrono::milliseconds(200));
     links.reserve(settings.members.size());
-    for (const auto& m : settings.members)
-      links.push_back(std::make_unique<peer::TcpLink>(deadlines, io.get_executor(), m.peer));
+    for (const auto& member : settings.members)
+      links.push_back(std::make_unique<peer::TcpLink>(deadlines, io.get_executor(), member.peer_endpoint));
     app::Controller controller(io, network, settings, tuning, std::random_device{}(), std::move(links));
     controller.listen();
     controller.start();
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 constexpr unsigned kHttp11 = 11;
-// The store's whole content comes in pages of less.
-constexpr std::uint64_t kMaxAnswerBytes = std::uint64_t{64} * 1024 * 1024;
+// The store's content comes in smaller pages.
+constexpr std::uint64_t kMaxResponseBytes = std::uint64_t{64} * 1024 * 1024;
 
 asio::awaitable<Code> connect(Socket& socket, const config::Endpoint& endpoint) {
-  const asio::ip::tcp::endpoint to(asio::ip::make_address_v4(endpoint.host), endpoint.port);
+  const asio::ip::tcp::endpoint address(asio::ip::make_address_v4(endpoint.host), endpoint.port);
   Code ec;
-  co_await socket.async_connect(to, asio::redirect_error(asio::use_awaitable, ec));
+  co_await socket.async_connect(address, asio::redirect_error(asio::use_awaitable, ec));
   if (ec) co_return ec;
   Code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -33,51 +33,52 @@
 }  // namespace
 
 Client::Client(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor,
-               config::Endpoint endpoint, std::size_t keep)
+               config::Endpoint endpoint, std::size_t max_idle_connections)
     : deadlines_(std::move(deadlines)),
       executor_(std::move(executor)),
       endpoint_(std::move(endpoint)),
-      keep_(keep) {}
+      max_idle_connections_(max_idle_connections) {}
 
-Client::Stream Client::take_idle() {
-  if (idle_.empty()) return nullptr;
-  Stream stream = std::move(idle_.back());
-  idle_.pop_back();
-  return stream;
+Client::Connection Client::take_idle_connection() {
+  if (idle_connections_.empty()) return nullptr;
+  Connection connection = std::move(idle_connections_.back());
+  idle_connections_.pop_back();
+  return connection;
 }
 
 asio::awaitable<Answer> Client::call(Verb verb, std::string target, std::string body,
-                                     std::chrono::milliseconds limit) {
+                                     std::chrono::milliseconds timeout) {
   bhttp::request<bhttp::string_body> request(verb, target, kHttp11);
   request.set(bhttp::field::host, endpoint_.text());
   if (!body.empty()) request.set(bhttp::field::content_type, "application/json");
   request.body() = std::move(body);
   request.prepare_payload();
 
-  const auto deadline = core::Steady::now() + limit;
-  // A kept connection may have been closed by the other side before it took the request; only a failure to
-  // write on it is tried again on a new one, since after that the request might be executed.
+  const auto deadline = core::Steady::now() + timeout;
+  // The server may have closed an idle connection before it read the request. Only a failed write on a reused
+  // connection is retried, on a new one: after a complete write the server may execute the request.
   for (int attempt = 0; attempt < 2; ++attempt) {
-    Stream stream = attempt == 0 ? take_idle() : nullptr;
-    const bool reused = stream != nullptr;
-    if (!reused) stream = std::make_unique<Socket>(executor_);
-    const core::Deadlines::Guard guard(deadlines_, *stream, deadline);
+    Connection connection = attempt == 0 ? take_idle_connection() : nullptr;
+    const bool reused = connection != nullptr;
+    if (!reused) connection = std::make_unique<Socket>(executor_);
+    const core::Deadlines::Guard guard(deadlines_, *connection, deadline);
     Code ec;
-    if (!reused) ec = co_await connect(*stream, endpoint_);
+    if (!reused) ec = co_await connect(*connection, endpoint_);
     if (ec) co_return Answer{};
-    ec = co_await send(*stream, request);
+    ec = co_await send(*connection, request);
     if (ec) {
       if (reused && core::Steady::now() < deadline) continue;
       co_return Answer{};
     }
     beast::flat_buffer buffer;
     bhttp::response_parser<bhttp::string_body> parser;
-    parser.body_limit(kMaxAnswerBytes);
-    ec = co_await receive(*stream, buffer, parser);
+    parser.body_limit(kMaxResponseBytes);
+    ec = co_await receive(*connection, buffer, parser);
     if (ec) co_return Answer{};
     Answer answer{static_cast<int>(parser.get().result_int()), std::move(parser.get().body())};
-    // Kept only while it is open: its deadline may have come at this very moment.
-    if (parser.keep_alive() && idle_.size() < keep_ && stream->is_open()) idle_.push_back(std::move(stream));
+    // The deadline may have closed the connection by now, and a closed one must not be reused.
+    if (parser.keep_alive() && idle_connections_.size() < max_idle_connections_ && connection->is_open())
+      idle_connections_.push_back(std::move(connection));
     co_return answer;
   }
   co_return Answer{};
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 client for one endpoint: a small bounded pool of kept connections, a deadline for every request.
+// HTTP/1.1 client for one endpoint, with a bounded pool of idle connections and a deadline for every request.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -10,38 +10,39 @@
 
 namespace finchrun::http {
 
-/// Requests to one endpoint, each on a connection of its own; up to `keep` idle ones are kept for the next.
+/// Sends requests to one endpoint, each on its own connection, and keeps idle connections for reuse.
 class Client : public Transport {
  public:
   Client(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor,
-         config::Endpoint endpoint, std::size_t keep = 4);
+         config::Endpoint endpoint, std::size_t max_idle_connections = 4);
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
   asio::awaitable<Answer> call(Verb verb, std::string target, std::string body,
-                               std::chrono::milliseconds limit) override;
+                               std::chrono::milliseconds timeout) override;
 
  private:
-  using Stream = std::unique_ptr<boost::asio::ip::tcp::socket>;
-  Stream take_idle();
+  using Connection = std::unique_ptr<boost::asio::ip::tcp::socket>;
+  Connection take_idle_connection();
   std::shared_ptr<core::Deadlines> deadlines_;
   asio::any_io_executor executor_;
   config::Endpoint endpoint_;
-  std::size_t keep_;
-  std::vector<Stream> idle_;
+  std::size_t max_idle_connections_;
+  std::vector<Connection> idle_connections_;
 };
 
-/// The real network.
+/// The network over TCP.
 class TcpNetwork : public Network {
  public:
   explicit TcpNetwork(asio::any_io_executor executor)
-      : executor_(executor), deadlines_(std::make_shared<core::Deadlines>(executor, kDeadlineTick)) {}
-  std::unique_ptr<Transport> connect(const config::Endpoint& to, std::size_t keep) override {
-    return std::make_unique<Client>(deadlines_, executor_, to, keep);
+      : executor_(executor), deadlines_(std::make_shared<core::Deadlines>(executor, kDeadlineResolution)) {}
+  std::unique_ptr<Transport> connect(const config::Endpoint& endpoint,
+                                     std::size_t max_idle_connections) override {
+    return std::make_unique<Client>(deadlines_, executor_, endpoint, max_idle_connections);
   }
 
  private:
-  static constexpr std::chrono::milliseconds kDeadlineTick{200};
+  static constexpr std::chrono::milliseconds kDeadlineResolution{200};
   asio::any_io_executor executor_;
   std::shared_ptr<core::Deadlines> deadlines_;
 };
--- a/src/http/exchange.hpp
+++ b/src/http/exchange.hpp
@@ -1,5 +1,5 @@
-// Messages over a socket that does not block: the system is asked once for each wait, read and write.
-// Composed operations with a timer each took about three times as many calls.
+// HTTP messages over a non-blocking socket, with one system call for each wait, read and write.
+// Composed asynchronous operations with a timer each made about three times as many system calls.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,25 +14,25 @@
 using Socket = asio::ip::tcp::socket;
 using Code = boost::system::error_code;
 
-inline asio::awaitable<Code> wait_for(Socket& socket, Socket::wait_type what) {
+inline asio::awaitable<Code> wait_for(Socket& socket, Socket::wait_type readiness) {
   Code ec;
-  co_await socket.async_wait(what, asio::redirect_error(asio::use_awaitable, ec));
+  co_await socket.async_wait(readiness, asio::redirect_error(asio::use_awaitable, ec));
   co_return ec;
 }
 
-// Reads until the parser is done. The socket must not block.
+// Reads until the parser is done. The socket must be non-blocking.
 template <class Buffer, class Parser>
 asio::awaitable<Code> receive(Socket& socket, Buffer& buffer, Parser& parser) {
   parser.eager(true);
-  bool wait = buffer.size() == 0;
+  bool must_wait = buffer.size() == 0;
   while (!parser.is_done()) {
-    if (wait) {
+    if (must_wait) {
       if (const Code ec = co_await wait_for(socket, Socket::wait_read)) co_return ec;
     }
     Code ec;
     boost::beast::http::read_some(socket, buffer, parser, ec);
-    wait = ec == asio::error::would_block;
-    if (ec && !wait) co_return ec;
+    must_wait = ec == asio::error::would_block;
+    if (ec && !must_wait) co_return ec;
   }
   co_return Code{};
 }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -23,10 +23,10 @@
 namespace bhttp = beast::http;
 
 constexpr unsigned kHttp11 = 11;
-constexpr auto kIdle = std::chrono::seconds(90);   // between two requests, and for reading one
-constexpr auto kWrite = std::chrono::seconds(10);  // for writing a response
-constexpr auto kTick = std::chrono::seconds(2);    // how exactly these are kept
-constexpr auto kPauseAfterRefusal = std::chrono::milliseconds(50);
+constexpr auto kReadTimeout = std::chrono::seconds(90);        // between two requests, and for reading one
+constexpr auto kWriteTimeout = std::chrono::seconds(10);       // for writing a response
+constexpr auto kDeadlineResolution = std::chrono::seconds(2);  // resolution of both timeouts
+constexpr auto kPauseAfterRejection = std::chrono::milliseconds(50);
 
 bhttp::response<bhttp::string_body> render(Response&& response, unsigned version, bool keep_alive) {
   bhttp::response<bhttp::string_body> out(static_cast<bhttp::status>(response.status), version);
@@ -38,22 +38,22 @@
   return out;
 }
 
-// Errors that the parser found in a request, as opposed to those of the connection.
-bool malformed(const Code& ec) {
+// Returns whether the parser found an error in the request, as opposed to an error of the connection.
+bool is_malformed(const Code& ec) {
   return ec && ec != bhttp::error::end_of_stream &&
          ec.category() == bhttp::make_error_code(bhttp::error::bad_method).category();
 }
 
-// The answer to a request that is not given to the handler. What was sent after it can't be told apart from
-// it, so the connection isn't used further.
-std::optional<Response> refusal_of(const Code& ec) {
+// Returns the response to an invalid request, which the handler does not get. Where the next request begins
+// is unknown, so the connection is closed afterwards.
+std::optional<Response> rejection_of(const Code& ec) {
   if (ec == bhttp::error::body_limit || ec == bhttp::error::header_limit)
     return Response{status::kPayloadTooLarge, R"({"error":"request too large"})"};
-  if (malformed(ec)) return Response{status::kBadRequest, R"({"error":"malformed request"})"};
+  if (is_malformed(ec)) return Response{status::kBadRequest, R"({"error":"malformed request"})"};
   return std::nullopt;
 }
 
-// Counts a connection as open while it lives.
+// Counts a connection as open for the lifetime of this object.
 class OpenConnection {
  public:
   explicit OpenConnection(std::shared_ptr<int> count) : count_(std::move(count)) { ++*count_; }
@@ -69,51 +69,51 @@
   std::shared_ptr<int> count_;
 };
 
-// One connection, request after request.
+// Serves the requests of one connection, one after the other.
 asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<Handler> handler, OpenConnection,
                                        std::shared_ptr<core::Deadlines> deadlines) {
   Code ec;
   socket.set_option(asio::ip::tcp::no_delay(true), ec);
   socket.non_blocking(true, ec);
-  core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kIdle);
+  core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kReadTimeout);
   beast::flat_buffer buffer;
   while (true) {
     bhttp::request_parser<bhttp::string_body> parser;
     parser.body_limit(kMaxBodyBytes);
-    guard.move_to(core::Steady::now() + kIdle);
+    guard.move_to(core::Steady::now() + kReadTimeout);
     ec = co_await receive(socket, buffer, parser);
-    if (auto refusal = refusal_of(ec)) {
-      auto reply = render(std::move(*refusal), kHttp11, false);
-      guard.move_to(core::Steady::now() + kWrite);
+    if (auto rejection = rejection_of(ec)) {
+      auto reply = render(std::move(*rejection), kHttp11, false);
+      guard.move_to(core::Steady::now() + kWriteTimeout);
       co_await send(socket, reply);
       co_return;
     }
     if (ec) co_return;
     auto& message = parser.get();
-    const bool keep = message.keep_alive();
+    const bool keep_alive = message.keep_alive();
     const unsigned version = message.version();
     Request request;
     request.method = std::string(message.method_string());
     request.target = std::string(message.target());
     request.body = std::move(message.body());
-    guard.move_to(core::TimePoint::max());  // handlers have deadlines of their own
+    guard.move_to(core::TimePoint::max());  // handlers set their own deadlines
     Response response = co_await (*handler)(std::move(request));
-    auto reply = render(std::move(response), version, keep);
-    guard.move_to(core::Steady::now() + kWrite);
+    auto reply = render(std::move(response), version, keep_alive);
+    guard.move_to(core::Steady::now() + kWriteTimeout);
     ec = co_await send(socket, reply);
-    if (ec || !keep) co_return;
+    if (ec || !keep_alive) co_return;
   }
 }
 
 }  // namespace
 
-asio::awaitable<void> serve(config::Endpoint at, Handler handler, int max_connections) {
+asio::awaitable<void> serve(config::Endpoint endpoint, Handler handler, int max_connections) {
   auto executor = co_await asio::this_coro::executor;
-  asio::ip::tcp::acceptor acceptor(executor,
-                                   asio::ip::tcp::endpoint(asio::ip::make_address_v4(at.host), at.port));
+  asio::ip::tcp::acceptor acceptor(
+      executor, asio::ip::tcp::endpoint(asio::ip::make_address_v4(endpoint.host), endpoint.port));
   auto shared = std::make_shared<Handler>(std::move(handler));
   auto open = std::make_shared<int>(0);
-  auto deadlines = std::make_shared<core::Deadlines>(executor, kTick);
+  auto deadlines = std::make_shared<core::Deadlines>(executor, kDeadlineResolution);
   beast::error_code ec;
   auto on_error = asio::redirect_error(asio::use_awaitable, ec);
   while (true) {
@@ -121,9 +121,9 @@
     co_await acceptor.async_accept(socket, on_error);
     if (ec == asio::error::operation_aborted) co_return;
     if (ec || *open >= max_connections) {
-      // Out of sockets: close this one at once, and don't spin on a failing accept.
+      // No socket is left: close this one, and pause so that a failing accept does not spin.
       socket.close(ec);
-      asio::steady_timer pause(executor, kPauseAfterRefusal);
+      asio::steady_timer pause(executor, kPauseAfterRejection);
       co_await pause.async_wait(on_error);
       continue;
     }
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 server on one address: a coroutine per connection, bounded in number and in request size.
+// HTTP/1.1 server on one address: one coroutine per connection, with limits on connections and request size.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -14,14 +14,14 @@
 
 namespace asio = boost::asio;
 
-/// A request as its handler sees it: `target` is the path with its query.
+/// A request as the handler gets it; `target` is the path with the query.
 struct Request {
   std::string method;
   std::string target;
   std::string body;
 };
 
-/// What a handler answers.
+/// A handler's response.
 struct Response {
   int status = status::kOk;
   std::string body;
@@ -29,14 +29,14 @@
   std::string content_type = "application/json";
 };
 
-/// Called once for each request; must not throw.
+/// Handles one request; must not throw.
 using Handler = std::function<asio::awaitable<Response>(Request)>;
 
-/// Longer requests are refused with 413, unread.
+/// Requests with a longer body are rejected with 413, unread.
 inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
-/// Serves requests until the executor's context ends. Throws when the address can't be bound. Connections
-/// over `max_connections` are closed at once.
-asio::awaitable<void> serve(config::Endpoint at, Handler handler, int max_connections);
+/// Serves requests until the executor's context ends. Throws if the address cannot be bound. Connections
+/// beyond `max_connections` are closed at once.
+asio::awaitable<void> serve(config::Endpoint endpoint, Handler handler, int max_connections);
 
 }  // namespace finchrun::http
--- a/src/http/transport.hpp
+++ b/src/http/transport.hpp
@@ -1,4 +1,4 @@
-// Where requests go: an HTTP client in the program, a stand-in in tests.
+// Interfaces for outgoing requests: an HTTP client in the program, a simulated network in tests.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,27 +15,28 @@
 namespace asio = boost::asio;
 using Verb = boost::beast::http::verb;
 
-/// What came back. `status::kNoAnswer`: the request might have been carried out, or might still be.
+/// The response to a request. After `status::kNoAnswer` the request may have been executed or may be later.
 struct Answer {
   int status = status::kNoAnswer;
   std::string body;
 };
 
-/// A way to one endpoint.
+/// Sends requests to one endpoint.
 class Transport {
  public:
   virtual ~Transport() = default;
-  /// Sends one request; never throws, and answers `kNoAnswer` after `limit`.
+  /// Sends one request; never throws, and returns `kNoAnswer` after `timeout`.
   virtual asio::awaitable<Answer> call(Verb verb, std::string target, std::string body,
-                                       std::chrono::milliseconds limit) = 0;
+                                       std::chrono::milliseconds timeout) = 0;
 };
 
-/// Makes transports: the real network, or the simulated one.
+/// Creates transports over TCP or a simulated network.
 class Network {
  public:
   virtual ~Network() = default;
-  /// `keep`: how many idle connections are kept for the next calls.
-  virtual std::unique_ptr<Transport> connect(const config::Endpoint& to, std::size_t keep) = 0;
+  /// Up to `max_idle_connections` stay open for the next calls.
+  virtual std::unique_ptr<Transport> connect(const config::Endpoint& endpoint,
+                                             std::size_t max_idle_connections) = 0;
 };
 
 }  // namespace finchrun::http
