--- a/tests/app/cluster_test.cpp
+++ b/tests/app/cluster_test.cpp
@@ -1,272 +1,286 @@
-// Days of the whole service under a simulated clock; every rule is checked after each step.
+// Runs the whole service under a simulated clock with single faults; the rules are checked after every step.
 #include "app/fault_scenarios.hpp"
 
 namespace finchrun::sim {
 namespace {
 
 TEST(Cluster, FinishesEverythingWithoutFaults) {
-  Cluster c(1);
-  load(c, 12, 20);
-  c.run(90);
-  expect_rules(c);
-  EXPECT_EQ(finished(c), 12u);
+  Cluster cluster(1);
+  submit_mixed_jobs(cluster, 12, 20);
+  cluster.run(90);
+  expect_no_violations(cluster);
+  EXPECT_EQ(finished_job_count(cluster), 12u);
 }
 
 struct FaultScenario {
   const char* name;
-  std::function<void(Cluster&)> job_failures;
+  std::function<void(Cluster&)> inject_faults;
 };
 class SingleFault : public testing::TestWithParam<FaultScenario> {};
 TEST_P(SingleFault, KeepsTheRulesAndFinishes) {
   for (const std::uint32_t seed : {7u, 8u}) {
-    Cluster c(seed);
-    load(c, 12, 30);
-    c.troubles_over = core::Steady::now() + core::secs(120);
-    GetParam().job_failures(c);
-    c.run(220);
-    expect_rules(c);
-    EXPECT_EQ(finished(c), 12u) << "seed " << seed;
+    Cluster cluster(seed);
+    submit_mixed_jobs(cluster, 12, 30);
+    cluster.faults_over_at = core::Steady::now() + core::secs(120);
+    GetParam().inject_faults(cluster);
+    cluster.run(220);
+    expect_no_violations(cluster);
+    EXPECT_EQ(finished_job_count(cluster), 12u) << "seed " << seed;
   }
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, SingleFault,
     testing::Values(
-        FaultScenario{"one_controller_crashes", [](Cluster& c) { c.at(15, [&c] { c.crash(0, 3); }); }},
+        FaultScenario{"one_controller_crashes",
+                      [](Cluster& cluster) { cluster.after(15, [&cluster] { cluster.crash(0, 3); }); }},
         FaultScenario{"all_controllers_crash",
-                      [](Cluster& c) {
-                        for (std::size_t n = 0; n < 3; ++n) c.at(15, [&c, n] { c.crash(n, 3); });
+                      [](Cluster& cluster) {
+                        for (std::size_t n = 0; n < 3; ++n)
+                          cluster.after(15, [&cluster, n] { cluster.crash(n, 3); });
                       }},
-        FaultScenario{"restart_within_a_moment",
-                      [](Cluster& c) {
+        FaultScenario{"controllers_restart_immediately",
+                      [](Cluster& cluster) {
                         for (int i = 0; i < 6; ++i)
-                          c.at(10 + 3 * i, [&c, i] { c.crash(static_cast<std::size_t>(i % 3), 0.2); });
+                          cluster.after(10 + 3 * i, [&cluster, i] {
+                            cluster.crash(static_cast<std::size_t>(i % 3), 0.2);
+                          });
                       }},
-        FaultScenario{"controller_gone_for_long", [](Cluster& c) { c.at(12, [&c] { c.crash(1, 60); }); }},
+        FaultScenario{"one_controller_down_for_long",
+                      [](Cluster& cluster) { cluster.after(12, [&cluster] { cluster.crash(1, 60); }); }},
         FaultScenario{"store_outage",
-                      [](Cluster& c) {
-                        c.at(15, [&c] { c.state.outage = true; });
-                        c.at(30, [&c] { c.state.recover(core::Steady::now()); });
+                      [](Cluster& cluster) {
+                        cluster.after(15, [&cluster] { cluster.store.outage = true; });
+                        cluster.after(30, [&cluster] { cluster.store.recover(core::Steady::now()); });
                       }},
-        FaultScenario{"refused_alone",
-                      [](Cluster& c) {
-                        c.at(12, [&c] { c.cut.insert({0, "state"}); });
-                        c.at(45, [&c] { c.cut.clear(); });
+        FaultScenario{"one_controller_cut_off_from_store",
+                      [](Cluster& cluster) {
+                        cluster.after(12, [&cluster] { cluster.blocked_links.insert({0, "state"}); });
+                        cluster.after(45, [&cluster] { cluster.blocked_links.clear(); });
                       }},
-        FaultScenario{"cut_from_agents",
-                      [](Cluster& c) {
-                        c.at(12, [&c] { c.cut.insert({0, "zone a"}); });
-                        c.at(40, [&c] { c.cut.clear(); });
+        FaultScenario{"one_controller_cut_off_from_agents",
+                      [](Cluster& cluster) {
+                        cluster.after(12, [&cluster] { cluster.blocked_links.insert({0, "zone a"}); });
+                        cluster.after(40, [&cluster] { cluster.blocked_links.clear(); });
                       }},
         FaultScenario{"cloud_outage",
-                      [](Cluster& c) {
-                        c.at(6, [&c] { c.cloud.outage = true; });
-                        c.at(40, [&c] { c.cloud.outage = false; });
+                      [](Cluster& cluster) {
+                        cluster.after(6, [&cluster] { cluster.cloud.outage = true; });
+                        cluster.after(40, [&cluster] { cluster.cloud.outage = false; });
                       }},
         FaultScenario{"machines_die",
-                      [](Cluster& c) {
-                        c.at(14, [&c] {
+                      [](Cluster& cluster) {
+                        cluster.after(14, [&cluster] {
                           int n = 0;
-                          for (auto& [name, w] : c.agents)
-                            if (n++ % 3 == 0) w.dead = true, c.cloud.hosts[name].dead = true;
+                          for (auto& [name, agent] : cluster.agents)
+                            if (n++ % 3 == 0) agent.dead = true, cluster.cloud.hosts[name].dead = true;
                         });
                       }},
-        FaultScenario{"machines_taken_while_all_controllers_are_down",
-                      [](Cluster& c) {
-                        for (std::size_t n = 0; n < 3; ++n) c.at(15, [&c, n] { c.crash(n, 8); });
-                        c.at(16, [&c] {
-                          // Every machine that has something to lose.
-                          std::erase_if(c.agents, [&c](const auto& w) {
-                            return !w.second.tasks.empty() && c.cloud.hosts.erase(w.first) > 0;
+        FaultScenario{"machines_removed_while_all_controllers_are_down",
+                      [](Cluster& cluster) {
+                        for (std::size_t n = 0; n < 3; ++n)
+                          cluster.after(15, [&cluster, n] { cluster.crash(n, 8); });
+                        cluster.after(16, [&cluster] {
+                          // All machines with tasks.
+                          std::erase_if(cluster.agents, [&cluster](const auto& agent) {
+                            return !agent.second.tasks.empty() && cluster.cloud.hosts.erase(agent.first) > 0;
                           });
                         });
                       }},
-        FaultScenario{"machines_hang_and_resume",
-                      [](Cluster& c) {
-                        c.at(14, [&c] {
-                          for (auto& [_, w] : c.agents) c.hang(w, 8);
+        FaultScenario{"agents_suspended_and_resumed",
+                      [](Cluster& cluster) {
+                        cluster.after(14, [&cluster] {
+                          for (auto& [_, agent] : cluster.agents) cluster.suspend(agent, 8);
                         });
                       }},
-        FaultScenario{"stands_still_past_its_store_lease_and_goes_on",
-                      [](Cluster& c) {
-                        // Whatever it had decided before is void: others own its partitions by then.
-                        c.at(13, [&c] { c.frozen.insert(0); });
-                        c.at(13 + 12, [&c] { c.frozen.clear(); });
-                        c.at(34, [&c] { c.frozen.insert(1); });
-                        c.at(34 + 3.3, [&c] { c.frozen.clear(); });
+        FaultScenario{"controller_suspended_past_its_store_lease",
+                      [](Cluster& cluster) {
+                        // Its earlier decisions are invalid on resume: other controllers lead its partitions.
+                        cluster.after(13, [&cluster] { cluster.suspended_controllers.insert(0); });
+                        cluster.after(13 + 12, [&cluster] { cluster.suspended_controllers.clear(); });
+                        cluster.after(34, [&cluster] { cluster.suspended_controllers.insert(1); });
+                        cluster.after(34 + 3.3, [&cluster] { cluster.suspended_controllers.clear(); });
                       }},
-        FaultScenario{"all_crash_in_a_store_outage",
-                      [](Cluster& c) {
-                        c.at(14, [&c] { c.state.outage = true; });
+        FaultScenario{"all_controllers_crash_in_a_store_outage",
+                      [](Cluster& cluster) {
+                        cluster.after(14, [&cluster] { cluster.store.outage = true; });
                         for (std::size_t n = 0; n < 3; ++n)
-                          c.at(20, [&c, n] { c.crash(n, n == 0 ? 0.2 : 3); });
-                        c.at(29, [&c] { c.state.recover(core::Steady::now()); });
+                          cluster.after(20, [&cluster, n] { cluster.crash(n, n == 0 ? 0.2 : 3); });
+                        cluster.after(29, [&cluster] { cluster.store.recover(core::Steady::now()); });
                       }},
-        FaultScenario{"half_of_all_machines_hang_past_their_lease_with_late_copies",
-                      [](Cluster& c) {
-                        c.faults.copy_report = 0.3;
-                        c.at(14, [&c] {
+        FaultScenario{"half_of_all_agents_suspended_past_their_lease_with_late_duplicates",
+                      [](Cluster& cluster) {
+                        cluster.faults.duplicate_heartbeat_probability = 0.3;
+                        cluster.after(14, [&cluster] {
                           int n = 0;
-                          for (auto& [_, w] : c.agents)
-                            if (n++ % 2 == 0) c.hang(w, 16);
+                          for (auto& [_, agent] : cluster.agents)
+                            if (n++ % 2 == 0) cluster.suspend(agent, 16);
                         });
-                        c.at(80, [&c] { c.faults = {}; });
+                        cluster.after(80, [&cluster] { cluster.faults = {}; });
                       }},
-        FaultScenario{"zone_cut_from_all_while_a_controller_elsewhere_crashes",
-                      [](Cluster& c) {
-                        // Controllers 0 and 2 stand in zone a; their machines are cut off with them.
-                        c.at(13, [&c] {
+        FaultScenario{"zone_cut_off_while_the_controller_elsewhere_crashes",
+                      [](Cluster& cluster) {
+                        // Controllers 0 and 2 run in zone a, whose machines are cut off with them.
+                        cluster.after(13, [&cluster] {
                           for (const std::size_t n : {0, 2})
-                            for (const char* what : {"state", "cloud", "zone b"}) c.cut.insert({n, what});
-                          c.cut.insert({1, "zone a"});
-                          c.cut.insert({1, "peers"});
+                            for (const char* what : {"state", "cloud", "zone b"})
+                              cluster.blocked_links.insert({n, what});
+                          cluster.blocked_links.insert({1, "zone a"});
+                          cluster.blocked_links.insert({1, "peers"});
                         });
-                        c.at(18, [&c] { c.crash(1, 0.2); });
-                        c.at(21.4, [&c] { c.crash(1, 0.1); });
-                        c.at(45, [&c] { c.cut.clear(); });
+                        cluster.after(18, [&cluster] { cluster.crash(1, 0.2); });
+                        cluster.after(21.4, [&cluster] { cluster.crash(1, 0.1); });
+                        cluster.after(45, [&cluster] { cluster.blocked_links.clear(); });
                       }},
-        FaultScenario{"commands_reach_a_machine_no_more",
-                      [](Cluster& c) {
-                        c.at(14, [&c] {
-                          // Two machines with something to do; and they stay so.
+        FaultScenario{"two_machines_unreachable_for_commands",
+                      [](Cluster& cluster) {
+                        cluster.after(14, [&cluster] {
+                          // Two machines with tasks, for the rest of the test.
                           int n = 0;
-                          for (auto& [_, w] : c.agents)
-                            if (!w.tasks.empty() && n++ < 2) w.unreachable = true;
+                          for (auto& [_, agent] : cluster.agents)
+                            if (!agent.tasks.empty() && n++ < 2) agent.inbound_blocked = true;
                         });
                       }},
-        FaultScenario{"copies_of_heartbeats_come_late",
-                      [](Cluster& c) {
-                        c.faults.copy_report = 0.3;
+        FaultScenario{"late_duplicate_heartbeats",
+                      [](Cluster& cluster) {
+                        cluster.faults.duplicate_heartbeat_probability = 0.3;
                         for (int i = 0; i < 4; ++i)
-                          c.at(12 + 9 * i,
-                               [&c, i] { c.crash(static_cast<std::size_t>(i % 3), i % 2 ? 0.2 : 5); });
-                        c.at(20, [&c] {
-                          for (auto& [name, w] : c.agents)
-                            if (!w.tasks.empty()) {
-                              w.dead = true;
-                              c.cloud.hosts[name].dead = true;
+                          cluster.after(12 + 9 * i, [&cluster, i] {
+                            cluster.crash(static_cast<std::size_t>(i % 3), i % 2 ? 0.2 : 5);
+                          });
+                        cluster.after(20, [&cluster] {
+                          for (auto& [name, agent] : cluster.agents)
+                            if (!agent.tasks.empty()) {
+                              agent.dead = true;
+                              cluster.cloud.hosts[name].dead = true;
                               break;
                             }
                         });
-                        c.at(120, [&c] { c.faults = {}; });
+                        cluster.after(120, [&cluster] { cluster.faults = {}; });
                       }},
-        FaultScenario{"loses_state_and_members_but_not_agents",
-                      [](Cluster& c) {
-                        c.at(12, [&c] {
-                          c.cut.insert({0, "state"});
-                          c.cut.insert({0, "peers"});
+        FaultScenario{"one_controller_cut_off_from_store_and_peers",
+                      [](Cluster& cluster) {
+                        cluster.after(12, [&cluster] {
+                          cluster.blocked_links.insert({0, "state"});
+                          cluster.blocked_links.insert({0, "peers"});
                         });
-                        c.at(60, [&c] { c.cut.clear(); });
+                        cluster.after(60, [&cluster] { cluster.blocked_links.clear(); });
                       }},
-        FaultScenario{"back_at_once_in_the_middle_of_an_election",
-                      [](Cluster& c) {
-                        c.at(12, [&c] { c.crash(0, 3.4); });
+        FaultScenario{"controllers_restart_immediately_during_an_election",
+                      [](Cluster& cluster) {
+                        cluster.after(12, [&cluster] { cluster.crash(0, 3.4); });
                         for (int i = 0; i < 8; ++i)
-                          c.at(14.6 + 0.3 * i,
-                               [&c, i] { c.crash(static_cast<std::size_t>(1 + i % 2), 0.1); });
-                        c.at(30, [&c] { c.crash(1, 0.1); });
+                          cluster.after(14.6 + 0.3 * i, [&cluster, i] {
+                            cluster.crash(static_cast<std::size_t>(1 + i % 2), 0.1);
+                          });
+                        cluster.after(30, [&cluster] { cluster.crash(1, 0.1); });
                       }},
-        FaultScenario{"messages_lost_and_late",
-                      [](Cluster& c) {
-                        c.faults = {0.02, 0.03, 0.03, 0.3};
-                        c.at(100, [&c] { c.faults = {}; });
+        FaultScenario{"lost_and_late_messages",
+                      [](Cluster& cluster) {
+                        cluster.faults = {0.02, 0.03, 0.03, 0.3};
+                        cluster.after(100, [&cluster] { cluster.faults = {}; });
                       }},
         FaultScenario{"cancellations",
-                      [](Cluster& c) {
-                        c.faults.max_delay_s = 0.2;
+                      [](Cluster& cluster) {
+                        cluster.faults.max_delay_s = 0.2;
                         for (int i = 0; i < 8; ++i)
-                          c.at(14 + 2 * i, [&c, i] {
-                            auto it = c.jobs.begin();
-                            std::advance(
-                                it, std::min<std::size_t>(static_cast<std::size_t>(i), c.jobs.size() - 1));
-                            if (it->second.accepted) c.cancel(it->first);
+                          cluster.after(14 + 2 * i, [&cluster, i] {
+                            auto it = cluster.jobs.begin();
+                            std::advance(it, std::min<std::size_t>(static_cast<std::size_t>(i),
+                                                                   cluster.jobs.size() - 1));
+                            if (it->second.accepted) cluster.cancel(it->first);
                           });
                       }}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Arrays that may use spot machines hold all ordinary ones and nothing of them waits; a gang that may not use
-// spot machines does. Nobody rented any, and the gang waited for arrays that came one after the other.
-TEST(Cluster, SpotMachinesAreRentedWhenAGangWaitsForOrdinaryOnes) {
-  Cluster c(5, 3, 1);
-  c.cloud.capacity = 1;
-  c.cloud.spot_capacity = 2;
-  for (int i = 0; i < 2; ++i) c.at(8, [&c] { c.submit(4, false, 1, 60, "blue", "normal", true); });
-  c.at(16, [&c] { c.submit(1, true, 4, 5, "red", "normal"); });
-  c.run(16);
-  const auto spot = [&c] {
-    return std::count_if(c.cloud.hosts.begin(), c.cloud.hosts.end(),
-                         [](const auto& h) { return h.second.spot; });
+// Guards against a gang that starves: arrays that may use spot instances hold all on-demand machines and none
+// of their tasks waits, so no spot instance was rented for them and the gang waited for one array after
+// another.
+TEST(Cluster, RentsSpotInstancesWhenAGangWaitsForOnDemandMachines) {
+  Cluster cluster(5, 3, 1);
+  cluster.cloud.capacity = 1;
+  cluster.cloud.spot_capacity = 2;
+  for (int i = 0; i < 2; ++i)
+    cluster.after(8, [&cluster] { cluster.submit(4, false, 1, 60, "blue", "normal", true); });
+  cluster.after(16, [&cluster] { cluster.submit(1, true, 4, 5, "red", "normal"); });
+  cluster.run(16);
+  const auto spot_instances = [&cluster] {
+    return std::count_if(cluster.cloud.hosts.begin(), cluster.cloud.hosts.end(),
+                         [](const auto& host) { return host.second.spot; });
   };
-  EXPECT_EQ(spot(), 0) << "nothing waits yet";
-  c.run(20);
-  EXPECT_GT(spot(), 0);
-  EXPECT_LE(spot(), 2) << "no more than the gang's tasks need";
-  expect_rules(c);
+  EXPECT_EQ(spot_instances(), 0) << "no job waits yet";
+  cluster.run(20);
+  EXPECT_GT(spot_instances(), 0);
+  EXPECT_LE(spot_instances(), 2) << "no more than the gang's tasks need";
+  expect_no_violations(cluster);
 }
 
-// A machine was rented for a gang and never came up: it counted as room on its way for four times its usual
-// boot.
-TEST(Cluster, AMachineThatIsOverdueIsNotWaitedFor) {
-  Cluster c(5, 3, 1);
-  for (int i = 0; i < 2; ++i) c.at(8, [&c] { c.submit(1, true, 4, 200, "blue", "normal"); });
-  c.at(14, [&c] {
-    c.cloud.never_up = 1;
-    c.submit(1, true, 4, 2, "red", "normal");
+// Guards against a long wait for a rented machine that never comes up: it counted as upcoming capacity for
+// four times its usual boot time.
+TEST(Cluster, RentsAnotherMachineWhenOneIsOverdue) {
+  Cluster cluster(5, 3, 1);
+  for (int i = 0; i < 2; ++i)
+    cluster.after(8, [&cluster] { cluster.submit(1, true, 4, 200, "blue", "normal"); });
+  cluster.after(14, [&cluster] {
+    cluster.cloud.machines_never_ready = 1;
+    cluster.submit(1, true, 4, 2, "red", "normal");
   });
-  constexpr double kRoundsAndBoots = 14 + 2 + 2 * 5 + 2 + 5 + 4;
-  c.run(kRoundsAndBoots);
-  EXPECT_EQ(c.cloud.hosts.size(), 4u) << "two from the start, the one that never comes, one more";
-  EXPECT_EQ(finished(c), 1u);
-  expect_rules(c);
+  constexpr double kRoundsAndBootsS = 14 + 2 + 2 * 5 + 2 + 5 + 4;
+  cluster.run(kRoundsAndBootsS);
+  EXPECT_EQ(cluster.cloud.hosts.size(), 4u) << "two initial machines, the overdue one and its replacement";
+  EXPECT_EQ(finished_job_count(cluster), 1u);
+  expect_no_violations(cluster);
 }
 
-// The check itself: while nobody can prove anything, no question is answered, and that is seen.
-TEST(Cluster, AJobNobodyAnswersForIsSeenAsForgotten) {
-  Cluster c(3);
-  load(c, 3, 5);
-  c.at(12, [&c] { c.state.outage = true; });
-  c.run(12 + 85);
-  ASSERT_FALSE(c.broken.empty());
-  EXPECT_EQ(c.broken.front().substr(0, 10), "forgotten ");
+// Tests the check of the rule `forgotten`: during a store outage no controller answers status requests.
+TEST(Cluster, ReportsAJobWithoutResponsesAsForgotten) {
+  Cluster cluster(3);
+  submit_mixed_jobs(cluster, 3, 5);
+  cluster.after(12, [&cluster] { cluster.store.outage = true; });
+  cluster.run(12 + 85);
+  ASSERT_FALSE(cluster.violations.empty());
+  EXPECT_EQ(cluster.violations.front().substr(0, 10), "forgotten ");
 }
 
-// Overlapping troubles drawn at random: nothing may break, whatever happens; finishing is not asked.
+// Random overlapping faults. No rule may be violated; the jobs need not finish.
 class RandomFaults : public testing::TestWithParam<std::uint32_t> {};
 TEST_P(RandomFaults, KeepsTheRules) {
-  Cluster c(GetParam());
-  std::mt19937 dice(GetParam() * 7919);
-  const auto compares = [&] { return 5.0 + dice() % 90; };
-  load(c, 16, 60);
-  c.faults = {0.01, 0.02, 0.02, 0.1};
+  Cluster cluster(GetParam());
+  std::mt19937 rng(GetParam() * 7919);
+  const auto random_time_s = [&] { return 5.0 + rng() % 90; };
+  submit_mixed_jobs(cluster, 16, 60);
+  cluster.faults = {0.01, 0.02, 0.02, 0.1};
   for (int i = 0; i < 4; ++i)
-    c.at(compares(), [&c, n = dice() % 3, back = dice() % 2 ? 0.3 : 4.0] { c.crash(n, back); });
+    cluster.after(random_time_s(), [&cluster, n = rng() % 3, restart_after_s = rng() % 2 ? 0.3 : 4.0] {
+      cluster.crash(n, restart_after_s);
+    });
   for (int i = 0; i < 3; ++i) {
-    const char* what[] = {"state", "cloud", "zone a", "zone b"};
-    const std::pair<std::size_t, std::string> side{dice() % 3, what[dice() % 4]};
-    const double from = compares();
-    c.at(from, [&c, side] { c.cut.insert(side); });
-    c.at(from + 5 + dice() % 25, [&c, side] { c.cut.erase(side); });
+    const char* ends[] = {"state", "cloud", "zone a", "zone b"};
+    const std::pair<std::size_t, std::string> link{rng() % 3, ends[rng() % 4]};
+    const double start_s = random_time_s();
+    cluster.after(start_s, [&cluster, link] { cluster.blocked_links.insert(link); });
+    cluster.after(start_s + 5 + rng() % 25, [&cluster, link] { cluster.blocked_links.erase(link); });
   }
-  const double outage = compares();
-  c.at(outage, [&c] { c.state.outage = true; });
-  c.at(outage + 3 + dice() % 15, [&c] { c.state.recover(core::Steady::now()); });
+  const double outage_s = random_time_s();
+  cluster.after(outage_s, [&cluster] { cluster.store.outage = true; });
+  cluster.after(outage_s + 3 + rng() % 15, [&cluster] { cluster.store.recover(core::Steady::now()); });
   for (int i = 0; i < 4; ++i) {
-    const double from = compares();
-    const auto pick = dice();
-    c.at(from, [&c, pick] {
-      if (c.agents.empty()) return;
-      auto it = c.agents.begin();
-      std::advance(it, pick % c.agents.size());
-      c.hang(it->second, 3 + pick % 20);
+    const double start_s = random_time_s();
+    const auto pick = rng();
+    cluster.after(start_s, [&cluster, pick] {
+      if (cluster.agents.empty()) return;
+      auto it = cluster.agents.begin();
+      std::advance(it, pick % cluster.agents.size());
+      cluster.suspend(it->second, 3 + pick % 20);
     });
-    c.at(compares(), [&c, pick] {
-      if (c.jobs.empty()) return;
-      auto it = c.jobs.begin();
-      std::advance(it, pick % c.jobs.size());
-      if (it->second.accepted) c.cancel(it->first);
+    cluster.after(random_time_s(), [&cluster, pick] {
+      if (cluster.jobs.empty()) return;
+      auto it = cluster.jobs.begin();
+      std::advance(it, pick % cluster.jobs.size());
+      if (it->second.accepted) cluster.cancel(it->first);
     });
   }
-  c.run(160);
-  expect_rules(c);
+  cluster.run(160);
+  expect_no_violations(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range(100u, 116u));
 
--- a/tests/app/fault_scenarios.hpp
+++ b/tests/app/fault_scenarios.hpp
@@ -1,4 +1,4 @@
-// What the scenarios of the simulated cluster share.
+// Helpers for test scenarios of the simulated cluster.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -8,30 +8,31 @@
 
 namespace finchrun::sim {
 
-struct Quiet {
-  Quiet() { spdlog::set_level(spdlog::level::off); }
+struct LogSilencer {
+  LogSilencer() { spdlog::set_level(spdlog::level::off); }
 };
-inline const Quiet quiet;
+inline const LogSilencer log_silencer;
 
-inline void load(Cluster& c, int jobs, double over_s) {
+inline void submit_mixed_jobs(Cluster& cluster, int jobs, double period_s) {
   for (int i = 0; i < jobs; ++i) {
-    c.at(5 + over_s * i / jobs, [&c, i] {
+    cluster.after(5 + period_s * i / jobs, [&cluster, i] {
       const bool gang = i % 3 == 0;
-      c.submit(gang ? 1 + i % 2 : 1 + i % 5, gang, gang ? 4 : 1, 3 + i % 7, i % 2 ? "red" : "blue",
-               i % 4 == 0 ? "high" : "normal");
+      cluster.submit(gang ? 1 + i % 2 : 1 + i % 5, gang, gang ? 4 : 1, 3 + i % 7, i % 2 ? "red" : "blue",
+                     i % 4 == 0 ? "high" : "normal");
     });
   }
 }
 
-inline std::size_t finished(const Cluster& c) {
-  std::size_t n = 0;
-  for (const auto& [_, j] : c.jobs) n += j.told_done || j.told_cancelled ? 1 : 0;
-  return n;
+inline std::size_t finished_job_count(const Cluster& cluster) {
+  std::size_t count = 0;
+  for (const auto& [_, job] : cluster.jobs) count += job.reported_done || job.reported_cancelled_at ? 1 : 0;
+  return count;
 }
 
-inline void expect_rules(const Cluster& c) {
-  EXPECT_TRUE(c.broken.empty()) << c.broken.size() << " broken, first: " << c.broken.front();
-  EXPECT_GT(c.starts, 0u);
+inline void expect_no_violations(const Cluster& cluster) {
+  EXPECT_TRUE(cluster.violations.empty())
+      << cluster.violations.size() << " violations, first: " << cluster.violations.front();
+  EXPECT_GT(cluster.task_starts, 0u);
 }
 
 }  // namespace finchrun::sim
--- a/tests/app/overlapping_faults_test.cpp
+++ b/tests/app/overlapping_faults_test.cpp
@@ -1,510 +1,548 @@
-// Two troubles that meet: the list of the operators' letter, each brought about once. Every rule is checked
-// after each step, and once the troubles are over nobody may be left waiting or without an answer.
+// Pairs of faults that overlap, each pair in one scenario. The rules are checked after every step, and after
+// the faults no job may starve and no user may stay without a response.
 #include "app/fault_scenarios.hpp"
 
 namespace finchrun::sim {
 namespace {
 
-// The two kinds of settings there are, and that of short leases.
-constexpr Timing kShort{1, 10, 30}, kMiddle{2.5, 15.25, 35.25}, kLong{10, 45, 70};
+// The two agent timings that deployments use, and one with short leases.
+constexpr AgentTiming kShortLeases{1, 10, 30}, kMediumLeases{2.5, 15.25, 35.25}, kLongLeases{10, 45, 70};
 
-std::size_t other(std::size_t node) { return (node + 1) % 3; }
+std::size_t another_controller(std::size_t controller) { return (controller + 1) % 3; }
 
-// Arrays with long to go, so that there is something to call off.
-void long_arrays(Cluster& c, double run_s) {
+// Submits long arrays, which can be cancelled while they run.
+void submit_long_arrays(Cluster& cluster, double run_s) {
   for (int i = 0; i < 6; ++i)
-    c.at(5 + 0.5 * i, [&c, i, run_s] { c.submit(3, false, 1, run_s, i % 2 ? "red" : "blue", "normal"); });
+    cluster.after(5 + 0.5 * i, [&cluster, i, run_s] {
+      cluster.submit(3, false, 1, run_s, i % 2 ? "red" : "blue", "normal");
+    });
 }
 
-// Every job that runs and is not called off yet.
-void cancel_running(Cluster& c, std::size_t most) {
-  for (auto& [id, job] : c.jobs)
-    if (most > 0 && job.accepted && !job.asked_cancel && job.done.size() < job.tasks) c.cancel(id), --most;
+// Cancels unfinished jobs whose cancellation was not requested yet.
+void cancel_running_jobs(Cluster& cluster, std::size_t max_count) {
+  for (auto& [id, job] : cluster.jobs)
+    if (max_count > 0 && job.accepted && !job.cancellation_requested && job.completed.size() < job.tasks)
+      cluster.cancel(id), --max_count;
 }
 
-void hang_those_with_tasks(Cluster& c, std::size_t most, double for_s) {
-  for (auto& [_, w] : c.agents)
-    if (most > 0 && !w.tasks.empty() && !w.hanging) c.hang(w, for_s), --most;
+void suspend_agents_with_tasks(Cluster& cluster, std::size_t max_count, double duration_s) {
+  for (auto& [_, agent] : cluster.agents)
+    if (max_count > 0 && !agent.tasks.empty() && !agent.suspended)
+      cluster.suspend(agent, duration_s), --max_count;
 }
 
-// The key-value store refuses the leader alone, others confirm cancellations, then it is out for all.
-void gap(Cluster& c, double refused_at, double out_at, double out_for) {
-  c.at(refused_at, [&c] { c.refused.insert(c.busiest()); });
-  for (double t = refused_at; t < out_at; t += 0.25) c.at(t, [&c] { cancel_running(c, 1); });
-  c.at(out_at, [&c] { c.state.outage = true; });
-  c.at(refused_at + 14, [&c] { c.refused.clear(); });
-  c.at(out_at + out_for, [&c] { c.state.recover(core::Steady::now()); });
+// The key-value store rejects only the leader's requests, while other controllers confirm cancellations, and
+// then fails for all.
+void reject_leader_then_fail(Cluster& cluster, double rejected_at, double outage_at, double outage_s) {
+  cluster.after(rejected_at, [&cluster] { cluster.refused_by_store.insert(cluster.busiest_leader()); });
+  for (double time_s = rejected_at; time_s < outage_at; time_s += 0.25)
+    cluster.after(time_s, [&cluster] { cancel_running_jobs(cluster, 1); });
+  cluster.after(outage_at, [&cluster] { cluster.store.outage = true; });
+  cluster.after(rejected_at + 14, [&cluster] { cluster.refused_by_store.clear(); });
+  cluster.after(outage_at + outage_s, [&cluster] { cluster.store.recover(core::Steady::now()); });
 }
 
-// The check itself: machines that nobody reaches have room, and what was accepted waits beside it.
-TEST(OverlappingFaults, AJobThatWaitsBesideRoomIsSeen) {
-  Cluster c(4);
-  c.troubles_over = core::Steady::now() + core::secs(10);
-  c.at(8, [&c] {
+// Tests the check for starvation: a job waits while machines that no controller reaches have free capacity.
+TEST(OverlappingFaults, ReportsAJobThatStarvesBesideFreeCapacity) {
+  Cluster cluster(4);
+  cluster.faults_over_at = core::Steady::now() + core::secs(10);
+  cluster.after(8, [&cluster] {
     for (std::size_t n = 0; n < 3; ++n)
-      for (const char* zone : {"zone a", "zone b"}) c.cut.insert({n, zone});
+      for (const char* zone : {"zone a", "zone b"}) cluster.blocked_links.insert({n, zone});
   });
-  c.at(9, [&c] { c.submit(2, false, 1, 5, "red", "normal"); });
-  c.run(110);
-  ASSERT_FALSE(c.broken.empty());
-  EXPECT_EQ(c.broken.front(), "left waiting req-000000");
+  cluster.after(9, [&cluster] { cluster.submit(2, false, 1, 5, "red", "normal"); });
+  cluster.run(110);
+  ASSERT_FALSE(cluster.violations.empty());
+  EXPECT_EQ(cluster.violations.front(), "left waiting req-000000");
 }
 
 struct FaultScenario {
   const char* name;
-  Timing timing;
-  double over_s;  // when the troubles are over
-  std::function<void(Cluster&)> job_failures;
+  AgentTiming timing;
+  double faults_over_s;  // time at which the faults are over
+  std::function<void(Cluster&)> inject_faults;
 };
 class OverlappingFaults : public testing::TestWithParam<FaultScenario> {};
 TEST_P(OverlappingFaults, KeepsTheRulesAndFinishes) {
-  const auto& m = GetParam();
+  const auto& scenario = GetParam();
   for (const std::uint32_t seed : {7u, 8u}) {
-    Cluster c(seed, 3, 3, m.timing);
-    load(c, 9, 25);
-    c.troubles_over = core::Steady::now() + core::secs(m.over_s);
-    m.job_failures(c);
-    c.run(m.over_s + 150);
-    expect_rules(c);
-    for (const auto& [id, job] : c.jobs)
-      EXPECT_TRUE(!job.accepted || job.told_done || job.told_cancelled) << id << " seed " << seed;
-    // A start that was under way may still happen; none is decided any more.
-    EXPECT_LE(c.started_cancelled, 1u) << "seed " << seed;
+    Cluster cluster(seed, 3, 3, scenario.timing);
+    submit_mixed_jobs(cluster, 9, 25);
+    cluster.faults_over_at = core::Steady::now() + core::secs(scenario.faults_over_s);
+    scenario.inject_faults(cluster);
+    cluster.run(scenario.faults_over_s + 150);
+    expect_no_violations(cluster);
+    for (const auto& [id, job] : cluster.jobs)
+      EXPECT_TRUE(!job.accepted || job.reported_done || job.reported_cancelled_at) << id << " seed " << seed;
+    // A start command in flight may still be executed, but no new one may be sent.
+    EXPECT_LE(cluster.starts_after_cancellation, 1u) << "seed " << seed;
   }
 }
 
-FaultScenario gap_of(const char* name, Timing t, bool peers_too) {
-  const double out_for = t.cancel_s + 12;
-  return {name, t, 24 + out_for, [=](Cluster& c) {
-            long_arrays(c, out_for + 10);
-            gap(c, 20, 22, out_for);
-            if (!peers_too) return;
-            c.at(20, [&c, node = std::make_shared<std::size_t>()] {
-              *node = c.busiest();
-              c.cut.insert({*node, "peers"});
-              c.at(14, [&c, node] { c.cut.erase({*node, "peers"}); });
-            });
-          }};
+FaultScenario reject_leader_then_fail_scenario(const char* name, AgentTiming timing, bool cut_off_peers) {
+  const double outage_s = timing.cancel_s + 12;
+  return {
+      name, timing, 24 + outage_s, [=](Cluster& cluster) {
+        submit_long_arrays(cluster, outage_s + 10);
+        reject_leader_then_fail(cluster, 20, 22, outage_s);
+        if (!cut_off_peers) return;
+        cluster.after(20, [&cluster, controller = std::make_shared<std::size_t>()] {
+          *controller = cluster.busiest_leader();
+          cluster.blocked_links.insert({*controller, "peers"});
+          cluster.after(14, [&cluster, controller] { cluster.blocked_links.erase({*controller, "peers"}); });
+        });
+      }};
 }
 
-// What is not called off lives through the outage: every other controller goes on telling what it has
-// confirmed. One that is cut off might know of a cancellation, so without it leases run out, as they must.
-struct Outage {
+// Tasks of jobs that are not cancelled survive a store outage while every controller reports its confirmed
+// cancellations to the leader. A controller that is cut off may know of another one, so leases must expire.
+struct OutageCase {
   const char* name;
-  std::function<void(Cluster&)> also;
-  bool tasks_live;
+  std::function<void(Cluster&)> extra_fault;
+  bool tasks_survive;
 };
-class LongOutage : public testing::TestWithParam<Outage> {};
-TEST_P(LongOutage, CostsNoTasksWhileAllControllersTellTheirCancellations) {
-  Cluster c(7, 3, 3, kMiddle);
-  long_arrays(c, 120);
-  long_arrays(c, 120);  // more than are called off
-  gap(c, 20, 22, 60);
-  c.at(23, [&c, also = GetParam().also] { also(c); });
-  c.run(90);
-  expect_rules(c);
-  if (GetParam().tasks_live) {
-    EXPECT_EQ(c.killed_by_lease, 0u);
+class LongStoreOutage : public testing::TestWithParam<OutageCase> {};
+TEST_P(LongStoreOutage, KillsTasksOnlyIfAControllerCannotReportItsCancellations) {
+  Cluster cluster(7, 3, 3, kMediumLeases);
+  submit_long_arrays(cluster, 120);
+  submit_long_arrays(cluster, 120);  // more jobs than are cancelled
+  reject_leader_then_fail(cluster, 20, 22, 60);
+  cluster.after(23, [&cluster, extra_fault = GetParam().extra_fault] { extra_fault(cluster); });
+  cluster.run(90);
+  expect_no_violations(cluster);
+  if (GetParam().tasks_survive) {
+    EXPECT_EQ(cluster.tasks_killed_by_lease, 0u);
   } else {
-    EXPECT_GT(c.killed_by_lease, 0u);
+    EXPECT_GT(cluster.tasks_killed_by_lease, 0u);
   }
 }
-INSTANTIATE_TEST_SUITE_P(Table, LongOutage,
-                         testing::Values(Outage{"all_there", [](Cluster&) {}, true},
-                                         Outage{"one_cut_off",
-                                                [](Cluster& c) {
-                                                  c.cut.insert({other(c.busiest()), "peers"});
-                                                },
-                                                false},
-                                         Outage{"one_restarts_and_cannot_confirm",
-                                                [](Cluster& c) { c.crash(other(c.busiest()), 0.3); }, false}),
-                         [](const auto& info) { return std::string(info.param.name); });
+INSTANTIATE_TEST_SUITE_P(
+    Table, LongStoreOutage,
+    testing::Values(
+        OutageCase{"all_controllers_up", [](Cluster&) {}, true},
+        OutageCase{"one_controller_cut_off",
+                   [](Cluster& cluster) {
+                     cluster.blocked_links.insert({another_controller(cluster.busiest_leader()), "peers"});
+                   },
+                   false},
+        OutageCase{"one_controller_restarts_in_the_outage",
+                   [](Cluster& cluster) { cluster.crash(another_controller(cluster.busiest_leader()), 0.3); },
+                   false}),
+    [](const auto& info) { return std::string(info.param.name); });
 
-// A controller hears none of its machines for longer than a lease, while everything else reaches it. Their
-// agents wait for each time-out, and were sent to the leader once more by whoever they came to: their leases
-// ran out.
-TEST(CutFromAgents, CostsNoTasksWhileAnotherControllerRelays) {
+// Guards against expired agent leases when a leader gets no heartbeats but reaches everything else: its
+// agents waited for each timeout, and every other controller redirected them to the leader again.
+TEST(LeaderCutOffFromAgents, KillsNoTasksWhileAnotherControllerRelays) {
   for (const std::uint32_t seed : {21u, 22u, 23u}) {
-    Cluster c(seed);
-    for (int i = 0; i < 8; ++i) c.at(5, [&c] { c.submit(1, false, 1, 60, "blue", "normal"); });
-    c.at(20, [&c] {
-      const auto leader = c.busiest();
-      for (const char* zone : {"zone a", "zone b"}) c.cut.insert({leader, zone});
+    Cluster cluster(seed);
+    for (int i = 0; i < 8; ++i)
+      cluster.after(5, [&cluster] { cluster.submit(1, false, 1, 60, "blue", "normal"); });
+    cluster.after(20, [&cluster] {
+      const auto leader = cluster.busiest_leader();
+      for (const char* zone : {"zone a", "zone b"}) cluster.blocked_links.insert({leader, zone});
     });
-    c.at(50, [&c] { c.cut.clear(); });
-    c.run(120);
-    expect_rules(c);
-    EXPECT_EQ(c.killed_by_lease, 0u) << "seed " << seed;
-    EXPECT_EQ(finished(c), 8u) << "seed " << seed;
+    cluster.after(50, [&cluster] { cluster.blocked_links.clear(); });
+    cluster.run(120);
+    expect_no_violations(cluster);
+    EXPECT_EQ(cluster.tasks_killed_by_lease, 0u) << "seed " << seed;
+    EXPECT_EQ(finished_job_count(cluster), 8u) << "seed " << seed;
   }
 }
 
-// The same while new jobs come: starts without an answer cost their partition a new fencing token, again and
-// again. One for each of the two partitions is left, for those that were on their way.
-TEST(CutFromAgents, TakesFewFencingTokensWhileTasksStartByHeartbeats) {
+// The same while jobs arrive. Guards against a new fencing token for each start command without a response.
+// Each of the two partitions may take one, for start commands that were in flight.
+TEST(LeaderCutOffFromAgents, TakesAtMostOneFencingTokenPerPartitionWhileTasksStart) {
   for (const std::uint32_t seed : {24u, 25u}) {
-    Cluster c(seed);
+    Cluster cluster(seed);
     for (int i = 0; i < 60; ++i)
-      c.at(5 + i, [&c, i] { c.submit(1, false, 1, 4, i % 2 ? "red" : "blue", "normal"); });
+      cluster.after(5 + i,
+                    [&cluster, i] { cluster.submit(1, false, 1, 4, i % 2 ? "red" : "blue", "normal"); });
     std::size_t before = 0;
-    c.at(20, [&] {
-      const auto leader = c.busiest();
-      for (const char* zone : {"zone a", "zone b"}) c.cut.insert({leader, zone});
-      before = c.state.changes_of("parts/");
+    cluster.after(20, [&] {
+      const auto leader = cluster.busiest_leader();
+      for (const char* zone : {"zone a", "zone b"}) cluster.blocked_links.insert({leader, zone});
+      before = cluster.store.change_count("parts/");
     });
-    c.at(80, [&] {
-      EXPECT_LE(c.state.changes_of("parts/") - before, 2u) << "seed " << seed;
-      c.cut.clear();
+    cluster.after(80, [&] {
+      EXPECT_LE(cluster.store.change_count("parts/") - before, 2u) << "seed " << seed;
+      cluster.blocked_links.clear();
     });
-    c.run(140);
-    expect_rules(c);
-    EXPECT_EQ(finished(c), 60u) << "seed " << seed;
+    cluster.run(140);
+    expect_no_violations(cluster);
+    EXPECT_EQ(finished_job_count(cluster), 60u) << "seed " << seed;
   }
 }
 
-// What users send that is odd, and what they are answered; by every controller the same.
-struct Odd {
+// Invalid submissions and the status with which every controller rejects them.
+struct Rejection {
   const char* name;
-  const char *field, *value;  // of a good submission, replaced; no value: left out
+  const char *field, *value;  // replaced in a valid submission; a null value removes the field
   int status;
 };
-class OddRequest : public testing::TestWithParam<Odd> {};
-TEST_P(OddRequest, IsAnsweredByItsCause) {
-  Cluster c(5);
+class InvalidSubmission : public testing::TestWithParam<Rejection> {};
+TEST_P(InvalidSubmission, IsRejectedByEveryController) {
+  Cluster cluster(5);
   auto body = json::parse(
                   R"({"nameId":"req-900001","lane":"work","crew":"red","shape":"ensemble","urgency":"normal",
       "pieces":2,"vcpus":1.0,"gpus":1.0,"ramGb":1.0,"plate":"img","imageGb":1.0,"together":false,
       "scatter":true,"loaners":false,"expectS":5.0,"snapshotS":5.0,"flushS":1.0})")
                   .as_object();
-  const auto& odd = GetParam();
-  body.erase(odd.field);
-  if (odd.value) body[odd.field] = json::parse(odd.value);
+  const auto& rejection = GetParam();
+  body.erase(rejection.field);
+  if (rejection.value) body[rejection.field] = json::parse(rejection.value);
   int answered = 0;
-  c.at(8, [&] {
+  cluster.after(8, [&] {
     for (std::size_t n = 0; n < 3; ++n)
-      c.ask_once(n, "POST", "/submissions", json::serialize(body), [&](int status, const std::string&) {
-        EXPECT_EQ(status, odd.status);
-        ++answered;
-      });
+      cluster.request_once(n, "POST", "/submissions", json::serialize(body),
+                           [&](int status, const std::string&) {
+                             EXPECT_EQ(status, rejection.status);
+                             ++answered;
+                           });
   });
-  c.run(12);
+  cluster.run(12);
   EXPECT_EQ(answered, 3);
 }
-INSTANTIATE_TEST_SUITE_P(Table, OddRequest,
-                         testing::Values(Odd{"unknown_team", "crew", R"("green")", 422},
-                                         Odd{"task_too_large", "gpus", "5.0", 422},
-                                         Odd{"more_memory_than_any", "ramGb", "300.0", 422},
-                                         Odd{"gang_beyond_the_limit", "pieces", "13", 422},
-                                         Odd{"no_such_type", "racks", R"(["h9"])", 422},
-                                         Odd{"no_type_allowed", "racks", "[]", 422},
-                                         Odd{"no_such_zone", "hall", R"("c")", 422},
-                                         Odd{"scatter_in_one_zone", "hall", R"("a")", 422},
-                                         Odd{"scatter_and_together", "together", "true", 422},
-                                         Odd{"a_field_is_missing", "plate", nullptr, 400},
-                                         Odd{"a_field_of_the_wrong_kind", "pieces", R"("2")", 400}),
+INSTANTIATE_TEST_SUITE_P(Table, InvalidSubmission,
+                         testing::Values(Rejection{"unknown_team", "crew", R"("green")", 422},
+                                         Rejection{"task_too_large", "gpus", "5.0", 422},
+                                         Rejection{"more_memory_than_any", "ramGb", "300.0", 422},
+                                         Rejection{"gang_beyond_the_limit", "pieces", "13", 422},
+                                         Rejection{"no_such_type", "racks", R"(["h9"])", 422},
+                                         Rejection{"no_type_allowed", "racks", "[]", 422},
+                                         Rejection{"no_such_zone", "hall", R"("c")", 422},
+                                         Rejection{"scatter_in_one_zone", "hall", R"("a")", 422},
+                                         Rejection{"scatter_and_together", "together", "true", 422},
+                                         Rejection{"a_field_is_missing", "plate", nullptr, 400},
+                                         Rejection{"a_field_of_the_wrong_kind", "pieces", R"("2")", 400}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// Asked again when it is over, in whatever way, a job keeps its state; one that nobody knows is unknown.
-TEST(OverlappingFaults, RepeatedSubmissionsAndCancellationsOfFinishedJobsAnswerTheirStatus) {
-  Cluster c(6);
-  c.at(5, [&c] { c.submit(1, false, 1, 3, "red", "normal"); });
-  c.at(5, [&c] { c.submit(1, false, 1, 60, "red", "normal"); });
-  c.at(15, [&c] { c.cancel("req-000001"); });
-  c.run(20);
-  ASSERT_TRUE(c.jobs.at("req-000000").told_done);
-  ASSERT_TRUE(c.jobs.at("req-000001").told_cancelled);
+// A finished job keeps its state after repeated requests of any kind; an unknown job is not found.
+TEST(OverlappingFaults, RepeatedSubmissionsAndCancellationsOfFinishedJobsReturnTheirStatus) {
+  Cluster cluster(6);
+  cluster.after(5, [&cluster] { cluster.submit(1, false, 1, 3, "red", "normal"); });
+  cluster.after(5, [&cluster] { cluster.submit(1, false, 1, 60, "red", "normal"); });
+  cluster.after(15, [&cluster] { cluster.cancel("req-000001"); });
+  cluster.run(20);
+  ASSERT_TRUE(cluster.jobs.at("req-000000").reported_done);
+  ASSERT_TRUE(cluster.jobs.at("req-000001").reported_cancelled_at);
   int answered = 0;
   const auto expect = [&](const char* method, const std::string& target, const std::string& body, int status,
                           const char* state) {
     for (std::size_t n = 0; n < 3; ++n)
-      c.ask_once(n, method, target, body, [&, target, status, state](int got, const std::string& text) {
-        EXPECT_EQ(got, status) << target;
-        if (state) {
-          EXPECT_EQ(json::parse(text).at("status").as_string(), state) << target;
-        }
-        ++answered;
-      });
+      cluster.request_once(n, method, target, body,
+                           [&, target, status, state](int got, const std::string& text) {
+                             EXPECT_EQ(got, status) << target;
+                             if (state) {
+                               EXPECT_EQ(json::parse(text).at("status").as_string(), state) << target;
+                             }
+                             ++answered;
+                           });
   };
   for (const auto& [id, state] : {std::pair{"req-000000", "done"}, std::pair{"req-000001", "cancelled"}}) {
     const std::string path = std::string("/submissions/") + id;
-    expect("POST", "/submissions", json::serialize(c.jobs.at(id).spec), 200, state);
+    expect("POST", "/submissions", json::serialize(cluster.jobs.at(id).spec), 200, state);
     expect("POST", path + "/abort", "", 200, state);
     expect("GET", path, "", 200, state);
   }
   expect("POST", "/submissions/req-777777/abort", "", 404, nullptr);
   expect("GET", "/submissions/req-777777", "", 404, nullptr);
-  c.run(5);
+  cluster.run(5);
   EXPECT_EQ(answered, 24);
-  expect_rules(c);
+  expect_no_violations(cluster);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table, OverlappingFaults,
     testing::Values(
-        FaultScenario{
-            "cancellations_queries_and_repeated_submissions_at_the_end_of_the_last_task", kShort, 60,
-            [](Cluster& c) {
-              c.on_end = [&c](const std::string& id) {
-                if (c.jobs.at(id).done.size() < c.jobs.at(id).tasks) return;
-                if (c.random() % 2 && !c.jobs.at(id).asked_cancel) c.cancel(id);
-                for (std::size_t n = 0; n < 3; ++n) {
-                  const auto& job = c.jobs.at(id);
-                  c.ask_once(n, "POST", "/submissions", json::serialize(job.spec),
-                             [&c, id](int status, const std::string&) {
-                               if (status != 200 && status < 500)
-                                 c.broken.push_back("repeat of " + id + " got " + std::to_string(status));
-                             });
-                }
-              };
-            }},
-        FaultScenario{"team_at_its_limit_leader_changes_silent_machines_and_a_cancellation", kShort, 90,
-                      [](Cluster& c) {
+        FaultScenario{"cancellations_queries_and_repeated_submissions_at_the_end_of_the_last_task",
+                      kShortLeases, 60,
+                      [](Cluster& cluster) {
+                        cluster.on_task_completed = [&cluster](const std::string& id) {
+                          if (cluster.jobs.at(id).completed.size() < cluster.jobs.at(id).tasks) return;
+                          if (cluster.random() % 2 && !cluster.jobs.at(id).cancellation_requested)
+                            cluster.cancel(id);
+                          for (std::size_t n = 0; n < 3; ++n) {
+                            const auto& job = cluster.jobs.at(id);
+                            cluster.request_once(n, "POST", "/submissions", json::serialize(job.spec),
+                                                 [&cluster, id](int status, const std::string&) {
+                                                   if (status != 200 && status < 500)
+                                                     cluster.violations.push_back("repeated submission of " +
+                                                                                  id + " returned " +
+                                                                                  std::to_string(status));
+                                                 });
+                          }
+                        };
+                      }},
+        FaultScenario{"team_at_its_limit_with_leader_crash_suspended_agents_and_cancellations", kShortLeases,
+                      90,
+                      [](Cluster& cluster) {
                         for (int i = 0; i < 8; ++i)
-                          c.at(5, [&c] { c.submit(4, false, 1, 40, "red", "normal"); });
-                        c.at(14, [&c] {
-                          hang_those_with_tasks(c, 2, 25);
-                          c.crash(c.busiest(), 20);
+                          cluster.after(5, [&cluster] { cluster.submit(4, false, 1, 40, "red", "normal"); });
+                        cluster.after(14, [&cluster] {
+                          suspend_agents_with_tasks(cluster, 2, 25);
+                          cluster.crash(cluster.busiest_leader(), 20);
                         });
-                        c.at(15, [&c] { cancel_running(c, 3); });
+                        cluster.after(15, [&cluster] { cancel_running_jobs(cluster, 3); });
                       }},
-        FaultScenario{"leader_ends_while_machines_with_long_tasks_are_unreachable", kShort, 110,
-                      [](Cluster& c) {
-                        long_arrays(c, 60);
-                        c.at(15, [&c] {
+        FaultScenario{"leader_crashes_while_machines_with_long_tasks_are_unreachable", kShortLeases, 110,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 60);
+                        cluster.after(15, [&cluster] {
                           int n = 0;
-                          for (auto& [_, w] : c.agents)
-                            if (!w.tasks.empty() && n++ < 3) {
-                              w.unreachable = true;
-                              c.at(18, [&w] { w.unreachable = false; });
+                          for (auto& [_, agent] : cluster.agents)
+                            if (!agent.tasks.empty() && n++ < 3) {
+                              agent.inbound_blocked = true;
+                              cluster.after(18, [&agent] { agent.inbound_blocked = false; });
                             }
-                          c.crash(c.busiest(), 15);
+                          cluster.crash(cluster.busiest_leader(), 15);
                         });
                       }},
-        FaultScenario{"heartbeat_held_back_until_a_new_leader_has_acted", kShort, 100,
-                      [](Cluster& c) {
-                        c.faults.copy_after_s = 25;
-                        c.at(13, [&c] { c.faults.copy_report = 1; });
-                        c.at(15, [&c] { c.crash(c.busiest(), 10); });
-                        c.at(16, [&c] { c.faults.copy_report = 0; });
+        FaultScenario{"heartbeats_delayed_until_after_a_failover", kShortLeases, 100,
+                      [](Cluster& cluster) {
+                        cluster.faults.max_duplicate_delay_s = 25;
+                        cluster.after(13, [&cluster] { cluster.faults.duplicate_heartbeat_probability = 1; });
+                        cluster.after(15, [&cluster] { cluster.crash(cluster.busiest_leader(), 10); });
+                        cluster.after(16, [&cluster] { cluster.faults.duplicate_heartbeat_probability = 0; });
                       }},
-        FaultScenario{"old_heartbeats_of_earlier_incarnations_and_attempts", kShort, 120,
-                      [](Cluster& c) {
-                        c.faults.copy_report = 0.5;
+        FaultScenario{"late_heartbeats_of_earlier_incarnations_and_attempts", kShortLeases, 120,
+                      [](Cluster& cluster) {
+                        cluster.faults.duplicate_heartbeat_probability = 0.5;
                         for (int i = 0; i < 3; ++i)
-                          c.at(13 + 16 * i, [&c] { hang_those_with_tasks(c, 3, 12); });
-                        c.at(70, [&c] { c.faults = {}; });
+                          cluster.after(13 + 16 * i,
+                                        [&cluster] { suspend_agents_with_tasks(cluster, 3, 12); });
+                        cluster.after(70, [&cluster] { cluster.faults = {}; });
                       }},
-        FaultScenario{"more_work_than_room_over_slow_links", kShort, 100,
-                      [](Cluster& c) {
-                        c.faults.max_delay_s = 0.4;
-                        load(c, 20, 20);
-                        c.at(100, [&c] { c.faults = {}; });
+        FaultScenario{"more_jobs_than_capacity_over_slow_links", kShortLeases, 100,
+                      [](Cluster& cluster) {
+                        cluster.faults.max_delay_s = 0.4;
+                        submit_mixed_jobs(cluster, 20, 20);
+                        cluster.after(100, [&cluster] { cluster.faults = {}; });
                       }},
-        FaultScenario{"leadership_transferred_back_all_end_one_returns_within_a_second", kShort, 90,
-                      [](Cluster& c) {
-                        long_arrays(c, 30);
-                        c.at(14, [&c] { c.crash(0, 5); });
-                        c.at(28, [&c] {
-                          for (std::size_t n = 0; n < 3; ++n) c.crash(n, n == 1 ? 0.4 : 12);
+        FaultScenario{"all_controllers_crash_after_a_leadership_transfer_and_one_restarts_within_a_second",
+                      kShortLeases, 90,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 30);
+                        cluster.after(14, [&cluster] { cluster.crash(0, 5); });
+                        cluster.after(28, [&cluster] {
+                          for (std::size_t n = 0; n < 3; ++n) cluster.crash(n, n == 1 ? 0.4 : 12);
                         });
                       }},
-        FaultScenario{"tasks_of_a_job_end_far_apart_across_a_change_of_leader", kShort, 100,
-                      [](Cluster& c) {
+        FaultScenario{"tasks_of_a_job_end_far_apart_across_a_failover", kShortLeases, 100,
+                      [](Cluster& cluster) {
                         for (int i = 0; i < 6; ++i)
-                          c.at(6, [&c, i] {
-                            c.submit(2 + i % 2, false, 1, 5, "blue", "normal", false, {}, 18);
+                          cluster.after(6, [&cluster, i] {
+                            cluster.submit(2 + i % 2, false, 1, 5, "blue", "normal", false, {}, 18);
                           });
-                        c.at(20, [&c] { c.crash(c.busiest(), 4); });
-                        c.at(40, [&c] { c.crash(c.busiest(), 0.3); });
+                        cluster.after(20, [&cluster] { cluster.crash(cluster.busiest_leader(), 4); });
+                        cluster.after(40, [&cluster] { cluster.crash(cluster.busiest_leader(), 0.3); });
                       }},
-        FaultScenario{"leader_cut_from_state_and_members_while_jobs_are_cancelled_through_the_next", kShort,
+        FaultScenario{"leader_cut_off_from_store_and_peers_while_its_successor_cancels_jobs", kShortLeases,
                       100,
-                      [](Cluster& c) {
-                        long_arrays(c, 70);
-                        c.at(16, [&c] {
-                          const auto node = c.busiest();
-                          c.cut.insert({node, "state"});
-                          c.cut.insert({node, "peers"});
-                          c.at(1, [&c] { cancel_running(c, 2); });
-                          c.at(8, [&c] { cancel_running(c, 2); });
-                          c.at(40, [&c] { c.cut.clear(); });
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 70);
+                        cluster.after(16, [&cluster] {
+                          const auto controller = cluster.busiest_leader();
+                          cluster.blocked_links.insert({controller, "state"});
+                          cluster.blocked_links.insert({controller, "peers"});
+                          cluster.after(1, [&cluster] { cancel_running_jobs(cluster, 2); });
+                          cluster.after(8, [&cluster] { cancel_running_jobs(cluster, 2); });
+                          cluster.after(40, [&cluster] { cluster.blocked_links.clear(); });
                         });
                       }},
-        FaultScenario{"zone_with_agents_and_a_controller_cut_off_past_the_lease", kMiddle, 110,
-                      [](Cluster& c) {
-                        long_arrays(c, 60);
-                        c.at(15, [&c] {
+        FaultScenario{"zone_with_agents_and_a_controller_cut_off_past_the_lease", kMediumLeases, 110,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 60);
+                        cluster.after(15, [&cluster] {
                           for (const char* what : {"state", "cloud", "peers", "zone a"})
-                            c.cut.insert({1, what});
-                          for (const std::size_t n : {0, 2}) c.cut.insert({n, "zone b"});
+                            cluster.blocked_links.insert({1, what});
+                          for (const std::size_t n : {0, 2}) cluster.blocked_links.insert({n, "zone b"});
                         });
-                        c.at(18, [&c] { cancel_running(c, 3); });
-                        c.at(45, [&c] { c.cut.clear(); });
+                        cluster.after(18, [&cluster] { cancel_running_jobs(cluster, 3); });
+                        cluster.after(45, [&cluster] { cluster.blocked_links.clear(); });
                       }},
-        FaultScenario{"leaders_change_ten_times_also_in_an_outage", kShort, 140,
-                      [](Cluster& c) {
-                        long_arrays(c, 50);
+        FaultScenario{"ten_failovers_one_of_them_in_an_outage", kShortLeases, 140,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 50);
                         for (int i = 0; i < 10; ++i)
-                          c.at(12 + 11 * i, [&c, i] { c.crash(c.busiest(), i % 3 == 0 ? 0.3 : 5); });
-                        c.at(55, [&c] { c.state.outage = true; });
-                        c.at(63, [&c] { c.state.recover(core::Steady::now()); });
-                        c.at(40, [&c] { cancel_running(c, 2); });
+                          cluster.after(12 + 11 * i, [&cluster, i] {
+                            cluster.crash(cluster.busiest_leader(), i % 3 == 0 ? 0.3 : 5);
+                          });
+                        cluster.after(55, [&cluster] { cluster.store.outage = true; });
+                        cluster.after(63, [&cluster] { cluster.store.recover(core::Steady::now()); });
+                        cluster.after(40, [&cluster] { cancel_running_jobs(cluster, 2); });
                       }},
-        FaultScenario{"key_value_store_slow_while_users_cancel_and_query", kShort, 100,
-                      [](Cluster& c) {
-                        long_arrays(c, 40);
-                        c.at(12, [&c] { c.faults.slow_state_s = 0.5; });
-                        for (int i = 0; i < 6; ++i) c.at(14 + i, [&c] { cancel_running(c, 1); });
-                        c.at(60, [&c] { c.faults.slow_state_s = 0; });
+        FaultScenario{"store_slow_while_users_cancel_and_query", kShortLeases, 100,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 40);
+                        cluster.after(12, [&cluster] { cluster.faults.store_delay_s = 0.5; });
+                        for (int i = 0; i < 6; ++i)
+                          cluster.after(14 + i, [&cluster] { cancel_running_jobs(cluster, 1); });
+                        cluster.after(60, [&cluster] { cluster.faults.store_delay_s = 0; });
                       }},
-        FaultScenario{"agents_reach_no_controller_while_commands_reach_them", kShort, 100,
-                      [](Cluster& c) {
-                        long_arrays(c, 60);
-                        c.at(15, [&c] {
+        FaultScenario{"agents_reach_no_controller_while_commands_reach_them", kShortLeases, 100,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 60);
+                        cluster.after(15, [&cluster] {
                           int n = 0;
-                          for (auto& [_, w] : c.agents)
+                          for (auto& [_, agent] : cluster.agents)
                             if (n++ % 2 == 0) {
-                              w.mute = true;
-                              c.at(30, [&c, name = w.name] {
-                                if (const auto at = c.agents.find(name); at != c.agents.end())
-                                  at->second.mute = false;
+                              agent.outbound_blocked = true;
+                              cluster.after(30, [&cluster, name = agent.name] {
+                                if (const auto at = cluster.agents.find(name); at != cluster.agents.end())
+                                  at->second.outbound_blocked = false;
                               });
                             }
                         });
-                        c.at(16, [&c] { cancel_running(c, 3); });
+                        cluster.after(16, [&cluster] { cancel_running_jobs(cluster, 3); });
                       }},
-        gap_of("gap_on_short_leases", kShort, false), gap_of("gap_on_middle_leases", kMiddle, false),
-        gap_of("gap_on_long_leases", kLong, false),
-        gap_of("gap_with_the_leader_cut_from_members_short", kShort, true),
-        gap_of("gap_with_the_leader_cut_from_members_middle", kMiddle, true),
-        gap_of("gap_with_the_leader_cut_from_members_long", kLong, true),
-        FaultScenario{"cancelled_as_the_leader_is_refused_and_a_second_later_an_outage", kMiddle, 85,
-                      [](Cluster& c) {
-                        long_arrays(c, 60);
-                        c.at(20, [&c] {
-                          c.refused.insert(c.busiest());
-                          cancel_running(c, 4);
+        reject_leader_then_fail_scenario("store_rejects_leader_then_fails_short_leases", kShortLeases, false),
+        reject_leader_then_fail_scenario("store_rejects_leader_then_fails_medium_leases", kMediumLeases,
+                                         false),
+        reject_leader_then_fail_scenario("store_rejects_leader_then_fails_long_leases", kLongLeases, false),
+        reject_leader_then_fail_scenario("store_rejects_leader_cut_off_from_peers_then_fails_short_leases",
+                                         kShortLeases, true),
+        reject_leader_then_fail_scenario("store_rejects_leader_cut_off_from_peers_then_fails_medium_leases",
+                                         kMediumLeases, true),
+        reject_leader_then_fail_scenario("store_rejects_leader_cut_off_from_peers_then_fails_long_leases",
+                                         kLongLeases, true),
+        FaultScenario{"cancellations_as_the_store_rejects_the_leader_one_second_before_an_outage",
+                      kMediumLeases, 85,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 60);
+                        cluster.after(20, [&cluster] {
+                          cluster.refused_by_store.insert(cluster.busiest_leader());
+                          cancel_running_jobs(cluster, 4);
                         });
-                        c.at(21, [&c] { c.state.outage = true; });
-                        c.at(21 + 47, [&c] { c.state.recover(core::Steady::now()); });
-                        c.at(34, [&c] { c.refused.clear(); });
+                        cluster.after(21, [&cluster] { cluster.store.outage = true; });
+                        cluster.after(21 + 47, [&cluster] { cluster.store.recover(core::Steady::now()); });
+                        cluster.after(34, [&cluster] { cluster.refused_by_store.clear(); });
                       }},
-        FaultScenario{"cancelled_on_most_machines_of_a_partition_that_hang_past_cancel_s", kMiddle, 100,
-                      [](Cluster& c) {
-                        long_arrays(c, 70);
-                        c.at(18, [&c] {
-                          for (auto& [_, w] : c.agents)
-                            if (w.zone == "a") c.hang(w, 60);
-                          cancel_running(c, 5);
+        FaultScenario{"cancellations_while_all_agents_of_a_partition_are_suspended_past_cancel_s",
+                      kMediumLeases, 100,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 70);
+                        cluster.after(18, [&cluster] {
+                          for (auto& [_, agent] : cluster.agents)
+                            if (agent.zone == "a") cluster.suspend(agent, 60);
+                          cancel_running_jobs(cluster, 5);
                         });
                       }},
-        FaultScenario{"jobs_of_one_zone_lose_machines", kShort, 80,
-                      [](Cluster& c) {
+        FaultScenario{"jobs_of_one_zone_lose_all_machines", kShortLeases, 80,
+                      [](Cluster& cluster) {
                         for (int i = 0; i < 4; ++i)
-                          c.at(6,
-                               [&c, i] { c.submit(2 + i, i % 2 == 0, 1, 20, "blue", "normal", false, "a"); });
-                        c.at(14, [&c] {
-                          for (auto& [name, w] : c.agents)
-                            if (w.zone == "a") w.dead = true, c.cloud.hosts[name].dead = true;
+                          cluster.after(6, [&cluster, i] {
+                            cluster.submit(2 + i, i % 2 == 0, 1, 20, "blue", "normal", false, "a");
+                          });
+                        cluster.after(14, [&cluster] {
+                          for (auto& [name, agent] : cluster.agents)
+                            if (agent.zone == "a") agent.dead = true, cluster.cloud.hosts[name].dead = true;
                         });
                       }},
-        FaultScenario{"all_controllers_away_past_the_lease", kShort, 70,
-                      [](Cluster& c) {
-                        long_arrays(c, 40);
-                        c.at(20, [&c] {
-                          for (std::size_t n = 0; n < 3; ++n) c.crash(n, 14 + static_cast<double>(n));
+        FaultScenario{"all_controllers_down_past_the_agent_lease", kShortLeases, 70,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 40);
+                        cluster.after(20, [&cluster] {
+                          for (std::size_t n = 0; n < 3; ++n) cluster.crash(n, 14 + static_cast<double>(n));
                         });
                       }},
-        FaultScenario{"writes_carried_out_late_after_newer_ones", kShort, 110,
-                      [](Cluster& c) {
-                        long_arrays(c, 30);
-                        c.at(8, [&c] { c.faults.late_write = 0.1; });
-                        c.at(30, [&c] { c.crash(c.busiest(), 0.5); });
-                        for (int i = 0; i < 5; ++i) c.at(15 + 4 * i, [&c] { cancel_running(c, 1); });
-                        c.at(80, [&c] { c.faults = {}; });
+        FaultScenario{"late_writes_executed_after_newer_ones", kShortLeases, 110,
+                      [](Cluster& cluster) {
+                        submit_long_arrays(cluster, 30);
+                        cluster.after(8, [&cluster] { cluster.faults.late_write_probability = 0.1; });
+                        cluster.after(30, [&cluster] { cluster.crash(cluster.busiest_leader(), 0.5); });
+                        for (int i = 0; i < 5; ++i)
+                          cluster.after(15 + 4 * i, [&cluster] { cancel_running_jobs(cluster, 1); });
+                        cluster.after(80, [&cluster] { cluster.faults = {}; });
                       }},
-        FaultScenario{"commands_held_up_on_machines_that_go_on", kMiddle, 100,
-                      [](Cluster& c) {
+        FaultScenario{"commands_delayed_on_agents_that_resume", kMediumLeases, 100,
+                      [](Cluster& cluster) {
                         for (int i = 0; i < 12; ++i)
-                          c.at(8 + 2 * i,
-                               [&c, i] { c.submit(3, false, 1, 40, i % 2 ? "red" : "blue", "normal"); });
+                          cluster.after(8 + 2 * i, [&cluster, i] {
+                            cluster.submit(3, false, 1, 40, i % 2 ? "red" : "blue", "normal");
+                          });
                         for (int i = 0; i < 5; ++i)
-                          c.at(11 + 5 * i, [&c] {
-                            hang_those_with_tasks(c, 2, 9);
-                            c.at(2.5, [&c] { cancel_running(c, 2); });
+                          cluster.after(11 + 5 * i, [&cluster] {
+                            suspend_agents_with_tasks(cluster, 2, 9);
+                            cluster.after(2.5, [&cluster] { cancel_running_jobs(cluster, 2); });
                           });
                       }}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Several of these troubles at once, drawn at random, with cancellations into them: nothing may break.
+// Random overlapping faults with cancellations. No rule may be violated.
 class RandomOverlappingFaults : public testing::TestWithParam<std::uint32_t> {};
 TEST_P(RandomOverlappingFaults, KeepsTheRules) {
-  const Timing timings[] = {kShort, kMiddle, kLong};
-  Cluster c(GetParam(), 3, 3, timings[GetParam() % 3]);
-  std::mt19937 dice(GetParam() * 104729);
-  const auto compares = [&] { return 8.0 + dice() % 80; };
-  const auto for_s = [&] { return 2.0 + dice() % 30; };
-  load(c, 12, 40);
-  long_arrays(c, 60);
-  const auto machine = [&c](std::uint32_t pick) -> Agent* {
-    if (c.agents.empty()) return nullptr;
-    auto it = c.agents.begin();
-    std::advance(it, pick % c.agents.size());
+  const AgentTiming timings[] = {kShortLeases, kMediumLeases, kLongLeases};
+  Cluster cluster(GetParam(), 3, 3, timings[GetParam() % 3]);
+  std::mt19937 rng(GetParam() * 104729);
+  const auto random_time_s = [&] { return 8.0 + rng() % 80; };
+  const auto random_duration_s = [&] { return 2.0 + rng() % 30; };
+  submit_mixed_jobs(cluster, 12, 40);
+  submit_long_arrays(cluster, 60);
+  const auto agent_at = [&cluster](std::uint32_t pick) -> Agent* {
+    if (cluster.agents.empty()) return nullptr;
+    auto it = cluster.agents.begin();
+    std::advance(it, pick % cluster.agents.size());
     return &it->second;
   };
-  const std::vector<std::function<void(double, std::uint32_t)>> troubles{
-      [&](double s, std::uint32_t) {
-        c.faults.late_write = 0.15;
-        c.at(s, [&c] { c.faults.late_write = 0; });
+  const std::vector<std::function<void(double, std::uint32_t)>> faults{
+      [&](double duration_s, std::uint32_t) {
+        cluster.faults.late_write_probability = 0.15;
+        cluster.after(duration_s, [&cluster] { cluster.faults.late_write_probability = 0; });
       },
-      [&](double s, std::uint32_t) {
-        c.faults.copy_report = 0.3;
-        c.at(s, [&c] { c.faults.copy_report = 0; });
+      [&](double duration_s, std::uint32_t) {
+        cluster.faults.duplicate_heartbeat_probability = 0.3;
+        cluster.after(duration_s, [&cluster] { cluster.faults.duplicate_heartbeat_probability = 0; });
       },
-      [&](double s, std::uint32_t) {
-        const auto node = c.busiest();
-        c.refused.insert(node);
-        c.at(s, [&c, node] { c.refused.erase(node); });
+      [&](double duration_s, std::uint32_t) {
+        const auto controller = cluster.busiest_leader();
+        cluster.refused_by_store.insert(controller);
+        cluster.after(duration_s, [&cluster, controller] { cluster.refused_by_store.erase(controller); });
       },
-      [&](double s, std::uint32_t) {
-        c.state.outage = true;
-        c.at(s, [&c] { c.state.recover(core::Steady::now()); });
+      [&](double duration_s, std::uint32_t) {
+        cluster.store.outage = true;
+        cluster.after(duration_s, [&cluster] { cluster.store.recover(core::Steady::now()); });
       },
-      [&](double s, std::uint32_t) {
-        const auto node = c.busiest();
+      [&](double duration_s, std::uint32_t) {
+        const auto controller = cluster.busiest_leader();
         for (const char* what : {"state", "peers"}) {
-          c.cut.insert({node, what});
-          c.at(s, [&c, node, what] { c.cut.erase({node, what}); });
+          cluster.blocked_links.insert({controller, what});
+          cluster.after(duration_s, [&cluster, controller, what] {
+            cluster.blocked_links.erase({controller, what});
+          });
         }
       },
-      [&](double s, std::uint32_t) { c.crash(c.busiest(), s < 10 ? 0.2 : 5); },
-      [&](double s, std::uint32_t pick) {
+      [&](double duration_s, std::uint32_t) {
+        cluster.crash(cluster.busiest_leader(), duration_s < 10 ? 0.2 : 5);
+      },
+      [&](double duration_s, std::uint32_t pick) {
         for (std::uint32_t i = 0; i < 2; ++i)
-          if (auto* w = machine(pick + i); w && !w->hanging) c.hang(*w, s);
+          if (auto* agent = agent_at(pick + i); agent && !agent->suspended)
+            cluster.suspend(*agent, duration_s);
       },
-      [&](double s, std::uint32_t pick) {
+      [&](double duration_s, std::uint32_t pick) {
         for (std::uint32_t i = 0; i < 2; ++i) {
-          auto* w = machine(pick + i);
-          if (!w) continue;
-          (pick % 2 ? w->unreachable : w->mute) = true;
-          c.at(s, [&c, name = w->name] {
-            if (const auto at = c.agents.find(name); at != c.agents.end())
-              at->second.unreachable = at->second.mute = false;
+          auto* agent = agent_at(pick + i);
+          if (!agent) continue;
+          (pick % 2 ? agent->inbound_blocked : agent->outbound_blocked) = true;
+          cluster.after(duration_s, [&cluster, name = agent->name] {
+            if (const auto at = cluster.agents.find(name); at != cluster.agents.end())
+              at->second.inbound_blocked = at->second.outbound_blocked = false;
           });
         }
       },
-      [&](double s, std::uint32_t) {
-        c.faults.slow_state_s = 0.4;
-        c.at(s, [&c] { c.faults.slow_state_s = 0; });
+      [&](double duration_s, std::uint32_t) {
+        cluster.faults.store_delay_s = 0.4;
+        cluster.after(duration_s, [&cluster] { cluster.faults.store_delay_s = 0; });
       }};
   for (int i = 0; i < 7; ++i) {
-    const auto pick = dice();
-    const double from = compares(), last = for_s();
-    c.at(from, [&troubles, pick, last] { troubles[pick % troubles.size()](last, pick / 16); });
-    c.at(from + 0.2 * (pick % 10), [&c] { cancel_running(c, 2); });
+    const auto pick = rng();
+    const double start_s = random_time_s(), duration_s = random_duration_s();
+    cluster.after(start_s,
+                  [&faults, pick, duration_s] { faults[pick % faults.size()](duration_s, pick / 16); });
+    cluster.after(start_s + 0.2 * (pick % 10), [&cluster] { cancel_running_jobs(cluster, 2); });
   }
-  c.run(170);
-  expect_rules(c);
+  cluster.run(170);
+  expect_no_violations(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomOverlappingFaults, testing::Range(300u, 312u));
 
--- a/tests/sim/agents.cpp
+++ b/tests/sim/agents.cpp
@@ -1,4 +1,4 @@
-// Simulated agents: their tasks' lives, their heartbeats, and the rules that are checked when a task starts.
+// Simulated agents: the states of their tasks, their heartbeats, and the checks when a task starts.
 #include <utility>
 
 #include "http/status.hpp"
@@ -7,22 +7,22 @@
 namespace finchrun::sim {
 namespace {
 
-constexpr double kForeverS = 1e6;
-// An agent's time-out for a heartbeat; without a way to any controller it notices sooner.
-constexpr double kHeartbeatTimeoutS = 4, kNoRouteS = 1;
-constexpr double kSoonS = 0.5, kRedirectedS = 0.1;
+constexpr double kServiceRunS = 1e6;  // longer than any simulation
+// An agent's timeout for a heartbeat, and the time after which it notices that it has no route.
+constexpr double kHeartbeatTimeoutS = 4, kNoRouteTimeoutS = 1;
+constexpr double kChangeReportDelayS = 0.5, kRedirectDelayS = 0.1;
 
 }  // namespace
 
 void Cluster::step_agent(Agent& agent) {
-  if (agent.dead || agent.hanging) return;
+  if (agent.dead || agent.suspended) return;
   expire_lease(agent);
   std::vector<std::string> completed;
   for (auto& [key, task] : agent.tasks)
     if (step_task(agent, task)) completed.push_back(key.first);
   for (const auto& id : completed)
-    if (on_end) on_end(id);
-  if (agent.in_flight || agent.next_report > now_) return;
+    if (on_task_completed) on_task_completed(id);
+  if (agent.in_flight || agent.next_heartbeat > now_) return;
   send_heartbeat(agent);
 }
 
@@ -30,15 +30,15 @@
   const auto before = agent.agent_incarnation;
   const auto lost =
       static_cast<std::size_t>(std::count_if(agent.tasks.begin(), agent.tasks.end(), [&](const auto& item) {
-        return item.second.on_machine() && !jobs.at(item.first.first).asked_cancel;
+        return item.second.is_on_machine() && !jobs.at(item.first.first).cancellation_requested;
       }));
-  agent.expire(settings_.lease_s, now_);
-  killed_by_lease += agent.agent_incarnation != before ? lost : 0;
+  agent.expire_lease(settings_.lease_s, now_);
+  tasks_killed_by_lease += agent.agent_incarnation != before ? lost : 0;
 }
 
-// One step of what a task does by itself. True if it has completed.
+// Advances a task's state if its next transition is due. Returns true if the task has completed.
 bool Cluster::step_task(Agent& agent, Task& task) {
-  if (task.state == "pulling" && task.next <= now_) {
+  if (task.state == "pulling" && task.next_transition <= now_) {
     task.state = "waiting";
     start_task(agent, task);
     agent.changed = true;
@@ -47,27 +47,27 @@
     run_task(agent, task);
     return false;
   }
-  if (task.next > now_) return false;
+  if (task.next_transition > now_) return false;
   if (task.state == "running") {
     task.state = "ended";
     task.cause = "done";
     agent.changed = true;
     auto& job = jobs.at(task.job);
-    job.done.insert(task.number);
+    job.completed.insert(task.number);
     if (job.gang)
-      for (std::uint32_t i = 0; i < job.tasks; ++i) job.done.insert(i);
+      for (std::uint32_t i = 0; i < job.tasks; ++i) job.completed.insert(i);
     return true;
   }
   if (task.state == "flushing") {
     task.state = "ended";
     task.cause = "halted";
-    task.saved = true;
+    task.checkpoint_saved = true;
     agent.changed = true;
   }
   return false;
 }
 
-// Runs a task that waits, unless it is a gang's and others of its attempt are not there yet.
+// Runs a waiting task. A gang's task runs only when all tasks of its attempt are on their machines.
 void Cluster::run_task(Agent& agent, Task& task) {
   auto& job = jobs.at(task.job);
   if (job.gang) {
@@ -79,14 +79,16 @@
     if (present != job.tasks) return;
   }
   task.state = "running";
-  if (job.standing) job.run_s = kForeverS;
-  task.next = now_ + core::secs(job.done.contains(task.number) ? 0 : job.run_s + job.apart_s * task.number);
+  if (job.is_service) job.run_s = kServiceRunS;
+  task.next_transition =
+      now_ +
+      core::secs(job.completed.contains(task.number) ? 0 : job.run_s + job.run_increment_s * task.number);
   agent.changed = true;
 }
 
 void Cluster::start_task(Agent& agent, Task& task) {
-  ++starts;
-  started_cancelled += jobs.at(task.job).told_cancelled ? 1 : 0;
+  ++task_starts;
+  starts_after_cancellation += jobs.at(task.job).reported_cancelled_at ? 1 : 0;
   check_start(agent, task);
 }
 
@@ -94,71 +96,74 @@
   agent.in_flight = true;
   agent.changed = false;
   http::Request request{"POST", "/hello", json::serialize(agent.heartbeat())};
-  const bool blocked = agent.mute || cut.contains({agent.node, "zone " + agent.zone});
+  const bool blocked =
+      agent.outbound_blocked || blocked_links.contains({agent.controller, "zone " + agent.zone});
   auto done = [this, name = agent.name, sent = now_,
                incarnation = agent.agent_incarnation](std::optional<http::Response> response) {
     const auto it = agents.find(name);
-    if (it == agents.end() || it->second.dead || it->second.hanging) return;
+    if (it == agents.end() || it->second.dead || it->second.suspended) return;
     it->second.in_flight = false;
-    it->second.next_report = now_ + core::secs(settings_.report_s);
-    take_heartbeat_answer(it->second, sent, incarnation, response);
+    it->second.next_heartbeat = now_ + core::secs(settings_.report_s);
+    handle_heartbeat_response(it->second, sent, incarnation, response);
   };
   if (blocked) {
-    post(agent.mute ? kNoRouteS : kHeartbeatTimeoutS, [done] { done(std::nullopt); });
+    post(agent.outbound_blocked ? kNoRouteTimeoutS : kHeartbeatTimeoutS, [done] { done(std::nullopt); });
     return;
   }
   const auto ignore = [](std::optional<http::Response>) {};
-  if (chance(faults.copy_report)) {
-    const double after = std::uniform_real_distribution<double>(0.5, faults.copy_after_s)(random);
-    post(after,
-         [this, request, ignore] { ask(random() % nodes_.size(), request, ignore, kHeartbeatTimeoutS); });
+  if (chance(faults.duplicate_heartbeat_probability)) {
+    const double delay_s = std::uniform_real_distribution<double>(0.5, faults.max_duplicate_delay_s)(random);
+    post(delay_s, [this, request, ignore] {
+      send_request(random() % processes_.size(), request, ignore, kHeartbeatTimeoutS);
+    });
   }
-  if (agent.unreachable) {
-    ask(agent.node, std::move(request), ignore, kHeartbeatTimeoutS);
+  if (agent.inbound_blocked) {
+    send_request(agent.controller, std::move(request), ignore, kHeartbeatTimeoutS);
     post(kHeartbeatTimeoutS, [done] { done(std::nullopt); });
     return;
   }
-  ask(agent.node, std::move(request), std::move(done), kHeartbeatTimeoutS);
+  send_request(agent.controller, std::move(request), std::move(done), kHeartbeatTimeoutS);
 }
 
-// What an agent does with the answer to a heartbeat that it sent at `sent`, in that incarnation; nothing: no
-// answer.
-void Cluster::take_heartbeat_answer(Agent& agent, TimePoint sent, std::uint64_t incarnation,
-                                    const std::optional<http::Response>& response) {
+// Handles the response to a heartbeat that the agent sent at `sent` in `incarnation`; nullopt means that no
+// response arrived.
+void Cluster::handle_heartbeat_response(Agent& agent, TimePoint sent, std::uint64_t incarnation,
+                                        const std::optional<http::Response>& response) {
   const int status = response ? response->status : http::status::kNoAnswer;
   if (status == http::status::kOk) {
-    const auto answer = json::parse(response->body).as_object();
-    const auto fencing_token = answer.at("baton").to_number<std::uint64_t>();
+    const auto body = json::parse(response->body).as_object();
+    const auto fencing_token = body.at("baton").to_number<std::uint64_t>();
     if (fencing_token < agent.fencing_token || incarnation != agent.agent_incarnation) return;
     agent.fencing_token = fencing_token;
     agent.last_answered = sent;
-    agent.execute(answer.at("orders").as_array(), jobs, now_);
-    if (agent.changed) agent.next_report = now_ + core::secs(kSoonS);
+    agent.execute(body.at("orders").as_array(), jobs, now_);
+    if (agent.changed) agent.next_heartbeat = now_ + core::secs(kChangeReportDelayS);
     return;
   }
   if (status == http::status::kMisdirectedRequest) {
-    const auto answer = json::parse(response->body).as_object();
-    if (const auto* leader = answer.if_contains("foreman")) {
-      const auto node = static_cast<std::size_t>(leader->as_string().back() - '0');
-      if (node != agent.node) {
-        agent.node = node;
-        agent.next_report = now_ + core::secs(kRedirectedS);
+    const auto body = json::parse(response->body).as_object();
+    if (const auto* leader = body.if_contains("foreman")) {
+      const auto controller = static_cast<std::size_t>(leader->as_string().back() - '0');
+      if (controller != agent.controller) {
+        agent.controller = controller;
+        agent.next_heartbeat = now_ + core::secs(kRedirectDelayS);
         return;
       }
     }
   }
-  agent.node = (agent.node + 1) % nodes_.size();
+  agent.controller = (agent.controller + 1) % processes_.size();
 }
 
-void Cluster::hang(Agent& agent, double for_s) {
-  agent.hanging = true;
-  at(for_s, [this, name = agent.name] {
+void Cluster::suspend(Agent& agent, double duration_s) {
+  agent.suspended = true;
+  after(duration_s, [this, name = agent.name] {
     const auto it = agents.find(name);
     if (it == agents.end()) return;
     Agent& resumed = it->second;
-    resumed.hanging = resumed.in_flight = false;
-    resumed.expire(settings_.lease_s, now_);
-    for (const auto& body : std::exchange(resumed.held, {})) resumed.direct(body, jobs, now_);
+    resumed.suspended = resumed.in_flight = false;
+    resumed.expire_lease(settings_.lease_s, now_);
+    for (const auto& body : std::exchange(resumed.deferred_commands, {}))
+      resumed.handle_commands(body, jobs, now_);
   });
 }
 
--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -9,25 +9,25 @@
 namespace {
 
 constexpr double kGangPeerS = 4;
-constexpr std::chrono::milliseconds kStep{10};
-// Processes that were killed: their coroutines are never resumed, so nothing of them may be destroyed either.
-std::vector<std::shared_ptr<void>>& graveyard() {
+constexpr std::chrono::milliseconds kTimeStep{10};
+// Killed processes. Their suspended coroutines refer to their objects, so none of them is destroyed.
+std::vector<std::shared_ptr<void>>& killed_processes() {
   static auto* dead = new std::vector<std::shared_ptr<void>>;
   return *dead;
 }
 
 }  // namespace
 
-Cluster::Cluster(std::uint32_t seed, int controllers, int machines_per_zone, Timing timing)
+Cluster::Cluster(std::uint32_t seed, int controllers, int machines_per_zone, AgentTiming timing)
     : random(seed),
       now_(core::secs(1000)),
-      nodes_(static_cast<std::size_t>(controllers)),
-      boots_(nodes_.size(), 0) {
+      processes_(static_cast<std::size_t>(controllers)),
+      boots_(processes_.size(), 0) {
   core::Steady::simulate(now_);
   settings_.zones = {"a", "b"};
   settings_.nodes = controllers;
   settings_.cloud = {kCloudHost, 1};
-  settings_.state = {kStateHost, 1};
+  settings_.state = {kStoreHost, 1};
   settings_.teams = {{"red", 0, 0, 8, 12}, {"blue", 0, 0, 8, 16}};
   settings_.report_s = timing.report_s;
   settings_.lease_s = timing.lease_s;
@@ -40,40 +40,44 @@
   cloud.capacity = machines_per_zone + 2;
   cloud.on_release = [this](const std::string& name) { agents.erase(name); };
   for (int i = 0; i < machines_per_zone; ++i)
-    for (const char* zone : {"a", "b"}) cloud.add(zone, now_, 0);
-  for (std::size_t n = 0; n < nodes_.size(); ++n) boot(n);
+    for (const char* zone : {"a", "b"}) cloud.add_machine(zone, now_, 0);
+  for (std::size_t n = 0; n < processes_.size(); ++n) boot(n);
 }
 
 Cluster::~Cluster() {
   if (std::getenv("FINCHRUN_TRAFFIC_DIGEST"))
     std::printf("traffic digest=%016llx messages=%llu\n", static_cast<unsigned long long>(traffic_.value()),
                 static_cast<unsigned long long>(traffic_.messages()));
-  for (auto& n : nodes_)
-    if (n) graveyard().push_back(std::shared_ptr<Node>(std::move(n)));
+  for (auto& n : processes_)
+    if (n) killed_processes().push_back(std::shared_ptr<ControllerProcess>(std::move(n)));
   core::Steady::simulate(std::nullopt);
 }
 
-void Cluster::boot(std::size_t node) {
+void Cluster::boot(std::size_t controller) {
   auto settings = settings_;
-  settings.label = "perch-" + std::to_string(node);
-  settings.zone = node % 2 == 0 ? "a" : "b";
-  for (std::size_t n = 0; n < nodes_.size(); ++n)
-    if (n != node) settings.members.push_back({"perch-" + std::to_string(n), n % 2 == 0 ? "a" : "b", {}});
-  nodes_[node] = std::make_unique<Node>(*this, node, settings, static_cast<std::uint32_t>(random()));
+  settings.label = "perch-" + std::to_string(controller);
+  settings.zone = controller % 2 == 0 ? "a" : "b";
+  for (std::size_t n = 0; n < processes_.size(); ++n)
+    if (n != controller)
+      settings.members.push_back({"perch-" + std::to_string(n), n % 2 == 0 ? "a" : "b", {}});
+  processes_[controller] =
+      std::make_unique<ControllerProcess>(*this, controller, settings, static_cast<std::uint32_t>(random()));
 }
 
-void Cluster::crash(std::size_t node, double back_s) {
-  if (!nodes_[node]) return;
-  graveyard().push_back(std::shared_ptr<Node>(std::move(nodes_[node])));
-  at(back_s, [this, node] { boot(node); });
+void Cluster::crash(std::size_t controller, double restart_after_s) {
+  if (!processes_[controller]) return;
+  killed_processes().push_back(std::shared_ptr<ControllerProcess>(std::move(processes_[controller])));
+  after(restart_after_s, [this, controller] { boot(controller); });
 }
 
 double Cluster::delay() { return std::uniform_real_distribution<double>(0.001, faults.max_delay_s)(random); }
-bool Cluster::chance(double p) { return p > 0 && std::uniform_real_distribution<double>(0, 1)(random) < p; }
-void Cluster::post(double delay_s, std::function<void()> what) {
-  events_.emplace(now_ + core::secs(delay_s), std::move(what));
+bool Cluster::chance(double probability) {
+  return probability > 0 && std::uniform_real_distribution<double>(0, 1)(random) < probability;
 }
-void Cluster::at(double seconds, std::function<void()> what) { post(seconds, std::move(what)); }
+void Cluster::post(double delay_s, std::function<void()> action) {
+  events_.emplace(now_ + core::secs(delay_s), std::move(action));
+}
+void Cluster::after(double seconds, std::function<void()> action) { post(seconds, std::move(action)); }
 
 void Cluster::run(double seconds) {
   const auto end = now_ + core::secs(seconds);
@@ -81,40 +85,40 @@
 }
 
 void Cluster::step() {
-  now_ += kStep;
+  now_ += kTimeStep;
   core::Steady::simulate(now_);
   while (!events_.empty() && events_.begin()->first <= now_) {
-    auto what = std::move(events_.begin()->second);
+    auto action = std::move(events_.begin()->second);
     events_.erase(events_.begin());
-    what();
+    action();
   }
-  for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    const auto& n = nodes_[i];
-    if (!n || frozen.contains(i)) continue;
+  for (std::size_t i = 0; i < processes_.size(); ++i) {
+    const auto& n = processes_[i];
+    if (!n || suspended_controllers.contains(i)) continue;
     for (int quiet = 0; quiet < 2;) quiet = n->io.poll() > 0 ? 0 : quiet + 1;
   }
   for (const auto& [name, host] : cloud.hosts) {
-    if (agents.contains(name) || host.up > now_) continue;
+    if (agents.contains(name) || host.ready_at > now_) continue;
     Agent agent;
     agent.name = name;
     agent.endpoint = host.endpoint;
     agent.type = host.type;
     agent.zone = host.zone;
     agent.spot = host.spot;
-    agent.last_answered = agent.next_report = now_;
+    agent.last_answered = agent.next_heartbeat = now_;
     agents[name] = agent;
   }
   for (auto& [_, agent] : agents) step_agent(agent);
-  check();
+  check_rules();
 }
 
-std::size_t Cluster::busiest() const {
+std::size_t Cluster::busiest_leader() const {
   std::map<std::size_t, int> led;
-  for (const auto& [key, value] : state.under("parts/"))
+  for (const auto& [key, value] : store.items_with_prefix("parts/"))
     ++led[static_cast<std::size_t>(value.at("owner").as_string().back() - '0')];
   std::size_t most = 0;
-  for (const auto& [node, n] : led)
-    if (n > led[most]) most = node;
+  for (const auto& [controller, n] : led)
+    if (n > led[most]) most = controller;
   return most;
 }
 
--- a/tests/sim/cluster.hpp
+++ b/tests/sim/cluster.hpp
@@ -1,5 +1,5 @@
-// A deployment in one process under a simulated clock: real controllers, stand-ins for all else, a network
-// that delays, loses, repeats and delivers late; and a check of the protocol's rules after every step.
+// Simulates a deployment in one process under a simulated clock: real controllers, fakes of the services and
+// agents, and a faulty network. Checks the protocol's rules after every step.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,87 +12,89 @@
 
 namespace finchrun::sim {
 
-/// What goes wrong at random; the chances are between 0 and 1.
+/// Random faults of the network and the key-value store; the probabilities are between 0 and 1.
 struct Faults {
-  double lose_request = 0;  // never arrives; the caller waits in vain
-  double lose_answer = 0;   // carried out, the answer lost
-  double late_request = 0;  // the caller has given up by the time it is carried out
+  double request_loss_probability = 0;   // the request never arrives, and the caller times out
+  double response_loss_probability = 0;  // the request is executed, but the response is lost
+  double late_request_probability = 0;   // the request is executed after the caller has timed out
   double max_delay_s = 0.02;
-  double copy_report = 0;  // a copy of the heartbeat comes once more, to any controller, up to so much later
-  double copy_after_s = 40;
-  double late_write = 0;  // a transaction gets no answer and is carried out 2 to 12 s later, after newer ones
-  double slow_state_s = 0;  // the key-value store answers so much later
+  double duplicate_heartbeat_probability = 0;  // a copy of a heartbeat reaches a random controller later
+  double max_duplicate_delay_s = 40;
+  // A transaction gets no response and is executed 2 to 12 s later, after newer ones.
+  double late_write_probability = 0;
+  double store_delay_s = 0;  // additional delay of the key-value store
 };
 
-/// What the settings say about agents.
-struct Timing {
+/// The agents' intervals and deadlines in the settings.
+struct AgentTiming {
   double report_s = 1, lease_s = 10, cancel_s = 30;
 };
 
-/// One simulated deployment. Its parts: network.cpp, agents.cpp, users.cpp, rules.cpp, services.cpp.
+/// One simulated deployment, implemented in cluster.cpp, network.cpp, agents.cpp, users.cpp and rules.cpp.
 class Cluster {
  public:
-  explicit Cluster(std::uint32_t seed, int controllers = 3, int machines_per_zone = 3, Timing timing = {});
+  explicit Cluster(std::uint32_t seed, int controllers = 3, int machines_per_zone = 3,
+                   AgentTiming timing = {});
   ~Cluster();
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // Controllers that boot from now on are told of these limits of the key-value store.
-  void announce(const config::StateLimits& limits) { settings_.state_limits = limits; }
+  // Sets the limits of the key-value store in the settings of controllers that boot from now on.
+  void announce_store_limits(const config::StateLimits& limits) { settings_.state_limits = limits; }
   void run(double seconds);
-  void at(double seconds_from_now, std::function<void()> what);
-  void crash(std::size_t node, double back_s);
+  void after(double seconds_from_now, std::function<void()> action);
+  void crash(std::size_t controller, double restart_after_s);
   void submit(int tasks, bool gang, double gpus, double run_s, const std::string& team,
               const std::string& priority, bool spot = false, const std::string& zone = {},
-              double apart_s = 0);
-  // A job of so many small replicas, spread over zones.
-  std::string submit_standing(int replicas, const std::string& team);
-  // Called when a task has completed, with its job.
-  std::function<void(const std::string&)> on_end;
+              double run_increment_s = 0);
+  // Submits a service with small replicas that are spread over zones. Returns its id.
+  std::string submit_service(int replicas, const std::string& team);
+  // Called with the job's id when a task has completed.
+  std::function<void(const std::string&)> on_task_completed;
   void cancel(const std::string& id);
-  // A user asks one controller, once; the answer's status.
-  void ask_once(std::size_t node, const std::string& method, const std::string& target,
-                const std::string& body, std::function<void(int, std::string)> done);
-  // The controller that leads most partitions, as the key-value store has it.
-  [[nodiscard]] std::size_t busiest() const;
-  // Everything that has passed over the simulated sockets so far, with its time: equal for two builds that
-  // behave alike. It is printed when the cluster ends, if FINCHRUN_TRAFFIC_DIGEST is set.
+  // Sends a user's request once to one controller, and calls `done` with the status and body of the response.
+  void request_once(std::size_t controller, const std::string& method, const std::string& target,
+                    const std::string& body, std::function<void(int, std::string)> done);
+  // Returns the controller that leads the most partitions according to the key-value store.
+  [[nodiscard]] std::size_t busiest_leader() const;
+  // The digest of all simulated messages so far and their times, which is equal for two builds that behave
+  // alike. The destructor prints it if FINCHRUN_TRAFFIC_DIGEST is set.
   [[nodiscard]] const TrafficDigest& traffic() const { return traffic_; }
-  // It hangs that long; commands that reach it are carried out when it goes on.
-  void hang(Agent& agent, double for_s);
+  // Suspends an agent; commands that arrive meanwhile are executed when it resumes.
+  void suspend(Agent& agent, double duration_s);
 
-  // Every broken rule, in words.
-  std::vector<std::string> broken;
+  // A description of each violation of a rule.
+  std::vector<std::string> violations;
   Faults faults;
-  StateService state;
+  StoreService store;
   CloudService cloud;
-  std::map<std::string, JobTruth> jobs;
+  std::map<std::string, JobHistory> jobs;
   std::map<std::string, Agent> agents;
-  std::set<std::pair<std::size_t, std::string>>
-      cut;                        // node can't reach (and isn't reached by) "state", "cloud", "peers", zone
-  std::set<std::size_t> refused;  // the key-value store answers 503 to these alone
-  std::set<std::size_t> frozen;   // stand still while their clocks and the world go on
-  // From then on every accepted job that is not cancelled must be answered about: see `check`.
-  TimePoint troubles_over;
-  std::size_t starts = 0;
-  std::size_t killed_by_lease = 0;    // tasks of jobs that are not called off
-  std::size_t started_cancelled = 0;  // starts of jobs whose user knew them to be cancelled
-  // Replica time of standing jobs from 5 s after their acceptance until they are called off.
-  double replica_s_due = 0, replica_s_served = 0;
+  // A controller and what it is cut off from, in both directions: "state", "cloud", "peers" or a zone.
+  std::set<std::pair<std::size_t, std::string>> blocked_links;
+  std::set<std::size_t> refused_by_store;       // the key-value store answers their requests with 503
+  std::set<std::size_t> suspended_controllers;  // their clocks go on
+  // From this time on users must get responses about every accepted job that is not cancelled.
+  TimePoint faults_over_at;
+  std::size_t task_starts = 0;
+  std::size_t tasks_killed_by_lease = 0;      // tasks of jobs whose cancellation was not requested
+  std::size_t starts_after_cancellation = 0;  // task starts after the user was told of the cancellation
+  // Replica time of services from 5 s after their acceptance until their cancellation is requested.
+  double expected_replica_s = 0, served_replica_s = 0;
   std::mt19937 random;
 
  private:
-  struct Node;
-  struct Line;
-  struct Net;
-  struct PeerLine;
-  friend struct Line;
-  void deliver_frame(std::size_t node, const std::string& frame, std::function<void(std::string)> done);
+  struct ControllerProcess;
+  struct ServiceConnection;
+  struct SimulatedNetwork;
+  struct PeerConnection;
+  friend struct ServiceConnection;
+  void deliver_frame(std::size_t controller, const std::string& frame, std::function<void(std::string)> done);
 
-  void post(double delay_s, std::function<void()> what);
+  void post(double delay_s, std::function<void()> action);
   double delay();
-  bool chance(double p);
-  void boot(std::size_t node);
+  bool chance(double probability);
+  void boot(std::size_t controller);
   void step();
   // Agents, in agents.cpp.
   void step_agent(Agent& agent);
@@ -101,33 +103,34 @@
   void run_task(Agent& agent, Task& task);
   void start_task(Agent& agent, Task& task);
   void send_heartbeat(Agent& agent);
-  void take_heartbeat_answer(Agent& agent, TimePoint sent, std::uint64_t incarnation,
-                             const std::optional<http::Response>& response);
+  void handle_heartbeat_response(Agent& agent, TimePoint sent, std::uint64_t incarnation,
+                                 const std::optional<http::Response>& response);
   // Users, in users.cpp.
-  std::string enter(JobTruth truth);
-  void request_submission(const std::string& id, int tries);
+  std::string submit_job(JobHistory history);
+  void send_submission(const std::string& id, int tries);
   void poll_status(const std::string& id);
   // The network, in network.cpp.
-  void ask(std::size_t node, http::Request request, std::function<void(std::optional<http::Response>)> done,
-           double limit_s);
-  Answer deliver(std::size_t node, const config::Endpoint& to, http::Verb verb, const std::string& target,
-                 const std::string& body);
-  Answer deliver_undigested(std::size_t node, const config::Endpoint& to, http::Verb verb,
+  void send_request(std::size_t controller, http::Request request,
+                    std::function<void(std::optional<http::Response>)> done, double timeout_s);
+  Answer deliver(std::size_t controller, const config::Endpoint& to, http::Verb verb,
+                 const std::string& target, const std::string& body);
+  Answer deliver_unrecorded(std::size_t controller, const config::Endpoint& to, http::Verb verb,
                             const std::string& target, const std::string& body);
-  [[nodiscard]] bool reachable(std::size_t node, const config::Endpoint& to) const;
+  [[nodiscard]] bool can_reach(std::size_t controller, const config::Endpoint& to) const;
   // The rules, in rules.cpp.
-  struct Room {
-    std::map<std::string, double> by_team;                  // what its limit leaves, in accelerators
-    std::map<std::string, std::vector<double>> by_machine;  // by zone: what each machine has free
-    std::map<std::string, std::size_t> tasks;               // by job: on machines, or told to start
+  struct FreeCapacity {
+    std::map<std::string, double> gpus_by_team;  // GPUs left under the team's limit
+    // The free GPUs of each machine.
+    std::map<std::string, std::vector<double>> machine_gpus_by_zone;
+    std::map<std::string, std::size_t> tasks;  // by job: tasks on machines or told to start
   };
-  void check();
+  void check_rules();
   void check_start(const Agent& agent, const Task& task);
-  void check_waiting();
+  void check_starvation();
   void check_scatter(const Agent& agent, const Task& task);
-  [[nodiscard]] Room room_left() const;
-  static bool could_start(const std::string& id, const JobTruth& job, const Room& room);
-  void count_replicas();
+  [[nodiscard]] FreeCapacity free_capacity() const;
+  static bool could_start(const std::string& id, const JobHistory& job, const FreeCapacity& capacity);
+  void add_replica_time();
   template <class F>
   void for_each_task(F visit) const {
     for (const auto& [_, agent] : agents)
@@ -135,10 +138,10 @@
   }
 
   config::Settings settings_;
-  std::map<std::string, TimePoint> fits_since_;  // waiting jobs for which there has been room, since when
+  std::map<std::string, TimePoint> startable_since_;  // waiting jobs that would fit, and since when
   TimePoint now_;
   std::multimap<TimePoint, std::function<void()>> events_;
-  std::vector<std::unique_ptr<Node>> nodes_;
+  std::vector<std::unique_ptr<ControllerProcess>> processes_;
   std::vector<std::uint32_t> boots_;
   int next_job_ = 0;
   TrafficDigest traffic_;
--- a/tests/sim/rules.cpp
+++ b/tests/sim/rules.cpp
@@ -1,4 +1,4 @@
-// The protocol's rules, checked after every step against what agents do and users were told.
+// Checks the protocol's rules after every step against the agents' tasks and the responses to users.
 #include <cmath>
 
 #include "sim/cluster.hpp"
@@ -11,115 +11,119 @@
 
 }  // namespace
 
-// Rules ran_twice and wrong_place, when a task starts.
+// Checks the rules ran_twice and wrong_place when a task starts.
 void Cluster::check_start(const Agent& agent, const Task& task) {
   for_each_task([&](const Agent& other_agent, const Task& other) {
-    if (&other != &task && other.job == task.job && other.number == task.number && other.on_machine() &&
+    if (&other != &task && other.job == task.job && other.number == task.number && other.is_on_machine() &&
         other_agent.name != agent.name)
-      broken.push_back("ran_twice " + task.job + "/" + std::to_string(task.number));
+      violations.push_back("ran_twice " + task.job + "/" + std::to_string(task.number));
   });
   const auto& job = jobs.at(task.job);
   if (const auto* zone = job.spec.if_contains("hall");
       zone && zone->is_string() && zone->as_string() != agent.zone)
-    broken.push_back("wrong_place " + task.job);
+    violations.push_back("wrong_place " + task.job);
   check_scatter(agent, task);
   if (!job.spec.at("together").as_bool()) return;
   for_each_task([&](const Agent& other_agent, const Task& other) {
-    if (other.job == task.job && other.on_machine() && other_agent.zone != agent.zone)
-      broken.push_back("wrong_place " + task.job);
+    if (other.job == task.job && other.is_on_machine() && other_agent.zone != agent.zone)
+      violations.push_back("wrong_place " + task.job);
   });
 }
 
 void Cluster::check_scatter(const Agent& agent, const Task& task) {
   const auto& job = jobs.at(task.job);
   if (!job.spec.at("scatter").as_bool()) return;
-  std::size_t in_zone = 0;
+  std::size_t count_in_zone = 0;
   for_each_task([&](const Agent& other_agent, const Task& other) {
-    in_zone += other.job == task.job && other.on_machine() && other_agent.zone == agent.zone ? 1 : 0;
+    count_in_zone += other.job == task.job && other.is_on_machine() && other_agent.zone == agent.zone ? 1 : 0;
   });
-  if (in_zone > (job.tasks + 1) / 2) broken.push_back("wrong_place " + task.job + " not spread");
+  if (count_in_zone > (job.tasks + 1) / 2) violations.push_back("wrong_place " + task.job + " not spread");
 }
 
-void Cluster::count_replicas() {
-  constexpr double kGraceS = 5, kStepS = 0.01;
+void Cluster::add_replica_time() {
+  constexpr double kGraceS = 5, kTimeStepS = 0.01;
   for (const auto& [id, job] : jobs) {
-    if (!job.standing || !job.accepted || job.asked_cancel || core::since(job.accepted_at, now_) < kGraceS)
+    if (!job.is_service || !job.accepted || job.cancellation_requested ||
+        core::since(job.accepted_at, now_) < kGraceS)
       continue;
     std::size_t running = 0;
     for_each_task([&](const Agent& agent, const Task& task) {
       running += !agent.dead && task.job == id && task.state == "running" ? 1 : 0;
     });
-    replica_s_due += kStepS * job.tasks;
-    replica_s_served += kStepS * static_cast<double>(running);
+    expected_replica_s += kTimeStepS * job.tasks;
+    served_replica_s += kTimeStepS * static_cast<double>(running);
   }
 }
 
-// Rules quota, ran_cancelled and forgotten, and what is not a rule of the protocol: no job is left waiting.
-void Cluster::check() {
+// Checks the rules quota, ran_cancelled and forgotten, and also that no job starves.
+void Cluster::check_rules() {
   std::map<std::string, double> used;
   for_each_task([&](const Agent& agent, const Task& task) {
-    if (agent.dead || !task.on_machine()) return;
+    if (agent.dead || !task.is_on_machine()) return;
     const auto& job = jobs.at(task.job);
     used[job.team] += job.gpus;
-    if (job.told_cancelled && core::since(*job.told_cancelled, now_) > settings_.cancel_s)
-      broken.push_back("ran_cancelled " + task.job);
+    if (job.reported_cancelled_at && core::since(*job.reported_cancelled_at, now_) > settings_.cancel_s)
+      violations.push_back("ran_cancelled " + task.job);
   });
-  constexpr double kLongestSilenceS = 75;
+  constexpr double kMaxSilenceS = 75;
   for (const auto& [id, job] : jobs)
-    if (job.accepted && !job.asked_cancel &&
-        core::since(std::max(job.answered, troubles_over), now_) > kLongestSilenceS)
-      broken.push_back("forgotten " + id + ": no question about it is answered");
+    if (job.accepted && !job.cancellation_requested &&
+        core::since(std::max(job.last_response_at, faults_over_at), now_) > kMaxSilenceS)
+      violations.push_back("forgotten " + id + ": no request about it is answered");
   for (const auto& team : settings_.teams)
-    if (used[team.name] > team.gpus_max + kRounding) broken.push_back("quota " + team.name);
-  check_waiting();
-  count_replicas();
+    if (used[team.name] > team.gpus_max + kRounding) violations.push_back("quota " + team.name);
+  check_starvation();
+  add_replica_time();
 }
 
-// Once the troubles are over no job waits for 90 s while a machine that fits has room and its team is under
-// its limit. Counted strictly: what a machine has, and what it has been told to start.
-void Cluster::check_waiting() {
-  constexpr double kLongestWaitS = 90;
-  if (troubles_over == TimePoint{} || now_ < troubles_over) return;
-  const Room room = room_left();
+// After the faults no job may wait for over 90 s while it fits on machines and under its team's limit. Tasks
+// that an agent has been told to start count as started.
+void Cluster::check_starvation() {
+  constexpr double kMaxWaitS = 90;
+  if (faults_over_at == TimePoint{} || now_ < faults_over_at) return;
+  const FreeCapacity capacity = free_capacity();
   for (const auto& [id, job] : jobs) {
-    if (!could_start(id, job, room)) {
-      fits_since_.erase(id);
-    } else if (core::since(fits_since_.try_emplace(id, now_).first->second, now_) > kLongestWaitS) {
-      broken.push_back("left waiting " + id);
+    if (!could_start(id, job, capacity)) {
+      startable_since_.erase(id);
+    } else if (core::since(startable_since_.try_emplace(id, now_).first->second, now_) > kMaxWaitS) {
+      violations.push_back("left waiting " + id);
     }
   }
 }
 
-Cluster::Room Cluster::room_left() const {
-  Room room;
-  for (const auto& team : settings_.teams) room.by_team[team.name] = team.gpus_max;
+Cluster::FreeCapacity Cluster::free_capacity() const {
+  FreeCapacity capacity;
+  for (const auto& team : settings_.teams) capacity.gpus_by_team[team.name] = team.gpus_max;
   for (const auto& [_, agent] : agents) {
-    double left = agent.dead || agent.hanging || agent.unreachable || agent.mute ? 0 : kMachineGpus;
+    double free_gpus =
+        agent.dead || agent.suspended || agent.inbound_blocked || agent.outbound_blocked ? 0 : kMachineGpus;
     for (const auto& [key, task] : agent.tasks) {
       if (task.state == "ended") continue;
       const auto& job = jobs.at(key.first);
-      left -= job.gpus;
-      room.by_team[job.team] -= job.gpus;
-      ++room.tasks[key.first];
+      free_gpus -= job.gpus;
+      capacity.gpus_by_team[job.team] -= job.gpus;
+      ++capacity.tasks[key.first];
     }
-    room.by_machine[agent.zone].push_back(left);
+    capacity.machine_gpus_by_zone[agent.zone].push_back(free_gpus);
   }
-  return room;
+  return capacity;
 }
 
-// Not said of services: some zone has room, though perhaps not one that may take another replica.
-bool Cluster::could_start(const std::string& id, const JobTruth& job, const Room& room) {
-  if (job.standing || !job.accepted || job.asked_cancel) return false;
-  const auto found = room.tasks.find(id);
-  const std::size_t started = found == room.tasks.end() ? 0 : found->second;
-  if (job.done.size() + started >= job.tasks || (job.gang && started > 0)) return false;
-  const double needs = job.gang ? job.tasks : 1;
-  if (room.by_team.at(job.team) + kRounding < needs * job.gpus) return false;
-  return std::any_of(room.by_machine.begin(), room.by_machine.end(), [&](const auto& zone) {
-    double places = 0;
-    for (const double gpus : zone.second) places += std::floor((gpus + kRounding) / job.gpus);
-    return places >= needs;
-  });
+// False for services: the zone with free capacity may already have its maximum of replicas.
+bool Cluster::could_start(const std::string& id, const JobHistory& job, const FreeCapacity& capacity) {
+  if (job.is_service || !job.accepted || job.cancellation_requested) return false;
+  const auto found = capacity.tasks.find(id);
+  const std::size_t started = found == capacity.tasks.end() ? 0 : found->second;
+  if (job.completed.size() + started >= job.tasks || (job.gang && started > 0)) return false;
+  const double places_needed = job.gang ? job.tasks : 1;
+  if (capacity.gpus_by_team.at(job.team) + kRounding < places_needed * job.gpus) return false;
+  return std::any_of(capacity.machine_gpus_by_zone.begin(), capacity.machine_gpus_by_zone.end(),
+                     [&](const auto& zone) {
+                       double places = 0;
+                       for (const double gpus : zone.second)
+                         places += std::floor((gpus + kRounding) / job.gpus);
+                       return places >= places_needed;
+                     });
 }
 
 }  // namespace finchrun::sim
--- a/tests/sim/scripted_network.hpp
+++ b/tests/sim/scripted_network.hpp
@@ -1,4 +1,4 @@
-// A network for tests of a client alone: it gives the answers that the test has prepared.
+// A network for tests of one client, with responses prepared by the test.
 #pragma once
 
 #include <boost/asio/co_spawn.hpp>
@@ -14,7 +14,7 @@
 
 namespace finchrun::sim {
 
-/// Gives the prepared answers in their order, then none, and keeps what it was asked.
+/// Returns the prepared responses in order, then `kNoAnswer`, and records the requests.
 struct ScriptedNetwork : http::Network {
   struct ScriptedTransport : http::Transport {
     explicit ScriptedTransport(ScriptedNetwork& network) : script(network) {}
@@ -36,7 +36,7 @@
   std::vector<std::string> targets, bodies;
 };
 
-/// Runs the coroutine that `start` returns to its end; its result.
+/// Runs the coroutine that `start` returns to completion and returns its result.
 template <class F>
 auto run_to_end(F&& start) {
   boost::asio::io_context io;
--- a/tests/sim/services.hpp
+++ b/tests/sim/services.hpp
@@ -1,4 +1,4 @@
-// Stand-ins for the key-value store, the cloud and the agents, written from the protocol. They speak its
+// Fakes of the key-value store, the cloud and the agents, written from the protocol. They exchange its
 // messages, so the controllers under test run their real clients.
 #pragma once
 
@@ -23,19 +23,19 @@
 using core::TimePoint;
 using http::Answer;
 
-/// The key-value store: revisions, store leases, compare-and-swap transactions, a feed of changes.
-class StateService {
+/// A key-value store with revisions, store leases, compare-and-swap transactions and a change feed.
+class StoreService {
  public:
   Answer handle(http::Verb verb, const std::string& target, const std::string& body, TimePoint now);
   bool outage = false;
-  // What it takes from now on; what is stored stays readable.
+  // Limits of new writes; values stored before stay readable.
   std::size_t value_bytes = 8192, transaction_writes = 16;
-  std::size_t refused_for_size = 0;  // requests answered 400 for a limit
-  // Outage over: every store lease has its full time again.
+  std::size_t rejected_for_size = 0;  // requests rejected with 400 for exceeding a limit
+  // Ends an outage and renews every store lease for its full term.
   void recover(TimePoint now);
-  [[nodiscard]] std::map<std::string, json::value> under(const std::string& prefix) const;
-  // How often a key with the prefix has been set, of the changes that are kept.
-  [[nodiscard]] std::size_t changes_of(const std::string& prefix) const;
+  [[nodiscard]] std::map<std::string, json::value> items_with_prefix(const std::string& prefix) const;
+  // Returns the number of retained changes to keys with the prefix.
+  [[nodiscard]] std::size_t change_count(const std::string& prefix) const;
 
  private:
   struct Item {
@@ -46,54 +46,54 @@
     TimePoint ends;
     double ttl_s = 0;
   };
-  struct Logged {
+  struct Change {
     std::uint64_t revision;
     std::string key;
     std::optional<json::value> value;
   };
-  void expire(TimePoint now);
+  void expire_leases(TimePoint now);
   Answer commit(const json::object& transaction);
   [[nodiscard]] Answer changes_since(std::uint64_t revision) const;
   [[nodiscard]] Answer page(const std::string& after, std::size_t limit) const;
   Answer grant_lease(double ttl_s, TimePoint now);
   Answer renew_lease(std::uint64_t store_lease, TimePoint now);
-  Answer too_large(const char* what);
+  Answer too_large(const char* reason);
   std::uint64_t revision_ = 0, next_store_lease_ = 1;
   std::map<std::string, Item> items_;
   std::map<std::uint64_t, StoreLease> store_leases_;
-  std::deque<Logged> log_;
+  std::deque<Change> changes_;
 };
 
-/// A task on an agent; `state` is the protocol's word.
+/// A task on an agent; `state` is the protocol's name of its state.
 struct Task {
   std::string job;
   std::uint32_t number = 0;
   std::uint64_t attempt = 0;
   std::string state = "pulling";  // pulling, waiting, running, flushing, ended
   std::string cause;
-  bool saved = false;
-  TimePoint next;  // when the state changes by itself
+  bool checkpoint_saved = false;
+  TimePoint next_transition;  // when the next transition is due
   double progress_at_start = 0;
-  [[nodiscard]] bool on_machine() const {
+  [[nodiscard]] bool is_on_machine() const {
     return state == "waiting" || state == "running" || state == "flushing";
   }
 };
 
-/// What really happened to a job, and what its user was told.
-struct JobTruth {
+/// What happened to a job, and what its user was told.
+struct JobHistory {
   json::object spec;
   std::uint32_t tasks = 1;
   bool gang = false;
-  bool standing = false;  // its replicas run until it is cancelled
-  double run_s = 5, fetch_s = 1, save_s = 1;
-  double apart_s = 0;  // each task runs so much longer than the one before
+  bool is_service = false;  // a service, whose replicas run until it is cancelled
+  double run_s = 5, image_pull_s = 1, checkpoint_write_s = 1;
+  double run_increment_s = 0;  // each task runs longer than the previous one by this time
   std::string team;
   double gpus = 0;
-  std::set<std::uint32_t> done;
-  bool accepted = false, told_done = false, asked_cancel = false;
+  std::set<std::uint32_t> completed;
+  bool accepted = false, reported_done = false, cancellation_requested = false;
   TimePoint accepted_at;
-  TimePoint answered;  // when a question about it was last answered with 200
-  std::optional<TimePoint> told_cancelled;
+  TimePoint last_response_at;  // time of the last response with status 200
+  std::optional<TimePoint> reported_cancelled_at;
 };
 
 /// One machine's agent.
@@ -101,46 +101,46 @@
  public:
   std::string name, endpoint, type, zone;
   bool spot = false;
-  bool dead = false, hanging = false;
-  bool mute = false;              // it reaches no controller; commands reach it
-  std::vector<std::string> held;  // commands that came while it hung
-  bool unreachable = false;       // its heartbeats arrive; answers and commands do not reach it
+  bool dead = false, suspended = false;
+  bool outbound_blocked = false;               // its heartbeats reach no controller, but commands reach it
+  std::vector<std::string> deferred_commands;  // commands that arrived while it was suspended
+  bool inbound_blocked = false;  // its heartbeats arrive, but responses and commands do not reach it
   std::uint64_t agent_incarnation = 1, sequence = 0, fencing_token = 0;
-  TimePoint last_answered;  // when the last answered heartbeat was sent
+  TimePoint last_answered;  // send time of the last heartbeat that got a response
   std::map<std::pair<std::string, std::uint32_t>, Task> tasks;
-  std::size_t node = 0;  // which controller it heartbeats to
+  std::size_t controller = 0;  // the controller that it sends heartbeats to
   bool in_flight = false;
-  TimePoint next_report;
+  TimePoint next_heartbeat;
   bool changed = false;
 
   json::object heartbeat();
-  // Executes commands; `jobs` are what users have submitted.
-  void execute(const json::array& commands, std::map<std::string, JobTruth>& jobs, TimePoint now);
-  Answer direct(const std::string& body, std::map<std::string, JobTruth>& jobs, TimePoint now);
-  void expire(double lease_s, TimePoint now);
+  // Executes commands; `jobs` are all submitted jobs.
+  void execute(const json::array& commands, std::map<std::string, JobHistory>& jobs, TimePoint now);
+  Answer handle_commands(const std::string& body, std::map<std::string, JobHistory>& jobs, TimePoint now);
+  void expire_lease(double lease_s, TimePoint now);
 };
 
-/// The cloud: one machine type, a list that lags.
+/// A cloud with one machine type and a list of machines that lags behind.
 class CloudService {
  public:
   Answer handle(http::Verb verb, const std::string& target, const std::string& body, TimePoint now);
   struct Host {
     std::string name, endpoint, type, zone;
     bool spot = false;
-    TimePoint rented, up;
+    TimePoint rented, ready_at;
     bool dead = false;
   };
   std::map<std::string, Host> hosts;
   std::function<void(const std::string&)> on_release;
   bool outage = false;
-  int capacity = 4;       // per zone
-  int spot_capacity = 0;  // the same, of spot machines
-  int never_up = 0;       // so many of the machines rented next stay starting
-  std::string add(const std::string& zone, TimePoint now, double boot_s);
+  int capacity = 4;              // per zone
+  int spot_capacity = 0;         // spot machines per zone
+  int machines_never_ready = 0;  // number of the next rented machines that never finish booting
+  std::string add_machine(const std::string& zone, TimePoint now, double boot_s);
 
  private:
-  std::map<std::string, std::vector<std::string>> answered_;
-  std::deque<std::pair<TimePoint, json::object>> lists_;
+  std::map<std::string, std::vector<std::string>> machines_by_request_;
+  std::deque<std::pair<TimePoint, json::object>> recent_lists_;
   json::object list(TimePoint now);
   int next_ = 0;
 };
--- a/tests/sim/traffic_digest.hpp
+++ b/tests/sim/traffic_digest.hpp
@@ -1,4 +1,4 @@
-// A digest of the messages that a simulated cluster exchanges, to compare two builds by their behaviour.
+// A digest of a simulated cluster's messages, to compare the behaviour of two builds.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 // FNV-1a over the fields of every message, in the order of delivery.
 class TrafficDigest {
  public:
-  void add(core::TimePoint at, std::size_t node, std::string_view kind, std::string_view request,
+  void add(core::TimePoint at, std::size_t controller, std::string_view kind, std::string_view request,
            std::string_view answer, int status) {
     add_number(static_cast<std::uint64_t>(at.time_since_epoch().count()));
-    add_number(node);
+    add_number(controller);
     add_text(kind);
     add_text(request);
     add_text(answer);
