--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# Builds the tests with the sanitizers and runs them. KNOWN-RED.txt names, a line each, the tests that fail for a
-# fault which is known and not mended yet: "test: cause, issue". They run too, first, and are printed; only the others
-# decide. An entry that names no test, or a fourth one, is an error.
+# Builds the tests with the sanitizers and runs them. Each line of KNOWN-RED.txt, "test: cause, issue N", names a test
+# that fails because of a known fault. These tests run first and their results are printed, but only the other tests
+# decide the exit status. An entry that names no test, or a fourth entry, is an error.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build-tests -G Ninja -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS_DEBUG=-g1 -DFINCHRUN_SANITIZE=ON >/dev/null
 cmake --build build-tests -j"$(nproc)"
 bash tests/known_red_test.sh
-red=$(bash tests/known_red.sh KNOWN-RED.txt <(ctest --test-dir build-tests -N))
-if [ -n "$red" ]; then
+known_failures=$(bash tests/known_red.sh KNOWN-RED.txt <(ctest --test-dir build-tests -N))
+if [ -n "$known_failures" ]; then
   echo "== known red"
   while IFS= read -r name; do
     if ctest --test-dir build-tests --output-on-failure -R "$name"; then
@@ -16,8 +16,8 @@
     else
       echo "known red: $name"
     fi
-  done < <(tr '|' '\n' <<<"$red")
+  done < <(tr '|' '\n' <<<"$known_failures")
   echo "== all others"
-  exec ctest --test-dir build-tests --output-on-failure -j"$(nproc)" -E "$red"
+  exec ctest --test-dir build-tests --output-on-failure -j"$(nproc)" -E "$known_failures"
 fi
 exec ctest --test-dir build-tests --output-on-failure -j"$(nproc)"
