--- a/src/assignments/assignment_writer.cpp
+++ b/src/assignments/assignment_writer.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kSpareAssignments = 2;
 
 // One write is left to the tombstones.
-std::size_t shards_for(const config::StateLimits& limits, std::size_t max_writes) {
+std::size_t shards_for(const config::StoreLimits& limits, std::size_t max_writes) {
   return std::clamp<std::size_t>(max_writes - 1, 1, limits.max_full_values());
 }
 
@@ -33,13 +33,13 @@
     : state_(state),
       partition_(partition),
       max_writes_(max_writes),
-      max_bytes_(state.settings.state_limits.value_bytes()),
+      max_bytes_(state.settings.store_limits.max_value_bytes()),
       tombstones_(state, partition),
-      shards_(state, partition, tombstones_, shards_for(state.settings.state_limits, max_writes)) {}
+      shards_(state, partition, tombstones_, shards_for(state.settings.store_limits, max_writes)) {}
 
-std::size_t AssignmentWriter::most_assignments(const config::StateLimits& limits) {
+std::size_t AssignmentWriter::most_assignments(const config::StoreLimits& limits) {
   const auto per_shard =
-      bytes_for_large_job(limits.value_bytes()) / jobs::kAssignmentBytes - kSpareAssignments;
+      bytes_for_large_job(limits.max_value_bytes()) / jobs::kAssignmentBytes - kSpareAssignments;
   return shards_for(limits, limits.max_writes()) * per_shard;
 }
 
--- a/src/assignments/assignment_writer.hpp
+++ b/src/assignments/assignment_writer.hpp
@@ -21,7 +21,7 @@
 class AssignmentWriter {
  public:
   AssignmentWriter(const ControllerState& state, core::PartitionId partition)
-      : AssignmentWriter(state, partition, state.settings.state_limits.max_writes()) {}
+      : AssignmentWriter(state, partition, state.settings.store_limits.max_writes()) {}
   /// `max_writes`: so many writes of its transaction the writer may use.
   AssignmentWriter(const ControllerState& state, core::PartitionId partition, std::size_t max_writes);
   // Its parts refer to each other.
@@ -32,7 +32,7 @@
   /// shards.
   bool add(core::JobId job, const std::vector<jobs::TaskAssignment>& assignments);
   /// So many assignments of one job always fit into a transaction that holds nothing else.
-  static std::size_t most_assignments(const config::StateLimits& limits);
+  static std::size_t most_assignments(const config::StoreLimits& limits);
   /// One step towards values within the limits, see ShardShrinker; for a writer that does nothing else.
   bool shrink();
   /// Is the shard within the limit on values?
--- a/src/assignments/exit_plan.cpp
+++ b/src/assignments/exit_plan.cpp
@@ -73,7 +73,7 @@
 
 PlannedTransaction plan_exits(const ControllerState& state, core::PartitionId partition) {
   PlannedTransaction transaction;
-  const auto& limits = state.settings.state_limits;
+  const auto& limits = state.settings.store_limits;
   AssignmentWriter writer(state, partition, limits.max_writes() - limits.max_writes() / kShareForJobs);
   const auto jobs = record_exits(state, partition, writer);
   if (writer.touched() > 0) writer.finish(transaction);
--- a/src/assignments/open_shards.cpp
+++ b/src/assignments/open_shards.cpp
@@ -8,7 +8,7 @@
       partition_(partition),
       tombstones_(tombstones),
       max_shards_(max_shards),
-      max_bytes_(state.settings.state_limits.value_bytes()) {}
+      max_bytes_(state.settings.store_limits.max_value_bytes()) {}
 
 OpenShard* OpenShards::find(const std::string& name) {
   const auto shard = shards_.find(name);
--- a/src/assignments/placement_plan.cpp
+++ b/src/assignments/placement_plan.cpp
@@ -68,7 +68,7 @@
   // this transaction has ended all the same.
   for (const auto& exit : state.fleet.observed_exits)
     if (exit.partition == partition) writer.record_exit(exit);
-  const auto max_compares = state.settings.state_limits.max_compares();
+  const auto max_compares = state.settings.store_limits.max_compares();
   for (; batch.next < placements.size() && placements[batch.next].partition == partition; ++batch.next) {
     const auto& placement = placements[batch.next];
     const auto* job = state.cache.job(placement.job);
--- a/src/assignments/planned_tombstones.cpp
+++ b/src/assignments/planned_tombstones.cpp
@@ -29,7 +29,7 @@
 }
 
 PlannedTombstones::PlannedTombstones(const ControllerState& state, core::PartitionId partition)
-    : state_(state), partition_(partition), max_bytes_(state.settings.state_limits.value_bytes()) {
+    : state_(state), partition_(partition), max_bytes_(state.settings.store_limits.max_value_bytes()) {
   const auto& stored = state.cache.tombstones(partition).shards;
   for (const auto& [name, jobs] : stored) {
     // Its shard has been written without what has ended: nothing is lost with these.
--- a/src/assignments/shard_shrinker.cpp
+++ b/src/assignments/shard_shrinker.cpp
@@ -18,7 +18,7 @@
   // is done would count twice for it if it had moved to another shard meanwhile.
   const bool done_may_move = state_.all_controllers_know(state::kTombstonesInAnyOrder);
   SplitRules rules;
-  rules.max_bytes = state_.settings.state_limits.value_bytes();
+  rules.max_bytes = state_.settings.store_limits.max_value_bytes();
   if (!done_may_move)
     for (const auto& [job, _] : jobs) rules.done_stays.insert(job);
   // Best with the shard's tombstones taken out of their list, which is a write more.
--- a/src/autoscaling/scale_in_plan.cpp
+++ b/src/autoscaling/scale_in_plan.cpp
@@ -10,7 +10,7 @@
 using controller::ControllerState;
 
 /// Longer than this without a heartbeat, and a machine may be gone. Heartbeats come every `report_s`.
-double may_be_gone_s(const config::Settings& settings) { return 3 * settings.report_s + 2; }
+double may_be_gone_s(const config::Settings& settings) { return 3 * settings.heartbeat_interval_s + 2; }
 
 /// Of the running machines of each partition: from how many heartbeats come.
 struct PartitionHealth {
@@ -64,7 +64,7 @@
 /// machine whose heartbeats don't come either may be cut off, and is waited for as a silent one.
 bool is_unreachable(const ControllerState& state, const Machine& machine, double silent_s,
                     core::TimePoint now) {
-  const double lease_s = state.settings.lease_s;
+  const double lease_s = state.settings.agent_lease_s;
   return machine.unreachable() && silent_s < lease_s &&
          core::since(*machine.unreachable_since, now) > 2 * lease_s + 15;
 }
@@ -77,12 +77,12 @@
   if (machine.listed && machine.status == "failed") return ScaleInReason::failed;
   if (in_use && is_unlisted(state, machine, silent_s)) return ScaleInReason::unlisted;
   if (machine.listed && machine.status == "running" &&
-      silent_s > state.settings.lease_s + wait_beyond_lease_s(state, placed, health))
+      silent_s > state.settings.agent_lease_s + wait_beyond_lease_s(state, placed, health))
     return ScaleInReason::silent;
   if (never_came_up(state, machine, now)) return ScaleInReason::never_came_up;
   if (machine.quarantined && !in_use) return ScaleInReason::quarantined;
   if (is_unreachable(state, machine, silent_s, now)) return ScaleInReason::unreachable;
-  if (machine.has_heartbeat && !in_use && core::since(machine.idle_since, now) > state.tuning.idle_return_s)
+  if (machine.has_heartbeat && !in_use && core::since(machine.idle_since, now) > state.tuning.scale_in_idle_s)
     return ScaleInReason::idle;
   return std::nullopt;
 }
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -27,7 +27,7 @@
 }
 double real(const json::object& object, const char* key) { return object.at(key).to_number<double>(); }
 
-std::optional<Error> error_of(const http::Answer& answer) {
+std::optional<Error> error_of(const http::ClientResponse& answer) {
   switch (answer.status) {
     case 200:
       return std::nullopt;
@@ -45,7 +45,7 @@
 
 /// What `read` makes of the answer's object; `read` throws if it is not what the protocol says.
 template <class Read>
-auto parse(const http::Answer& answer, const char* request, Read&& read)
+auto parse(const http::ClientResponse& answer, const char* request, Read&& read)
     -> Result<decltype(read(std::declval<const json::object&>()))> {
   if (const auto error = error_of(answer)) {
     spdlog::debug("cloud request failed request={} reason={} status={}", request, name_of(*error),
@@ -139,12 +139,12 @@
 }
 
 Cloud::Cloud(http::Network& network, const config::Settings& s)
-    : client_(network.connect(s.cloud, 2)),
-      rate_(s.cloud_rps / s.nodes),
+    : client_(network.connect(s.cloud_endpoint, 2)),
+      rate_(s.cloud_requests_per_s / s.controller_count),
       rate_limiter_(rate_, std::max(2.0, 2 * rate_), core::Steady::now()) {}
 
-asio::awaitable<http::Answer> Cloud::call(http::Verb verb, std::string target, std::string body) {
-  if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::Answer{429, {}};
+asio::awaitable<http::ClientResponse> Cloud::call(http::Verb verb, std::string target, std::string body) {
+  if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::ClientResponse{429, {}};
   co_return co_await client_->call(verb, std::move(target), std::move(body), kAnswerWithin);
 }
 
@@ -157,7 +157,7 @@
 }
 
 asio::awaitable<Result<std::vector<MachineType>>> Cloud::machine_types() {
-  const http::Answer answer = co_await call(http::Verb::get, "/flavors", {});
+  const http::ClientResponse answer = co_await call(http::Verb::get, "/flavors", {});
   co_return parse(answer, "machine_types", read_machine_types);
 }
 
@@ -169,7 +169,7 @@
     co_await wait_for_turn();
     std::string target = "/hosts?limit=500";
     if (!machines.empty()) target += "&from=" + machines.back().name;
-    const http::Answer answer = co_await client_->call(http::Verb::get, std::move(target), {}, kAnswerWithin);
+    const http::ClientResponse answer = co_await client_->call(http::Verb::get, std::move(target), {}, kAnswerWithin);
     auto result = parse(answer, "machines", read_machine_page);
     if (const auto* error = std::get_if<Error>(&result)) co_return *error;
     auto& page = std::get<MachinePage>(result);
@@ -181,13 +181,13 @@
 
 asio::awaitable<Result<Rented>> Cloud::scale_out(std::string request_id, std::string type, std::string zone,
                                                  bool spot, int count) {
-  const http::Answer answer =
+  const http::ClientResponse answer =
       co_await call(http::Verb::post, "/hosts", scale_out_body(request_id, type, zone, spot, count));
   co_return parse(answer, "scale_out", read_rented);
 }
 
 asio::awaitable<Result<Released>> Cloud::release(std::vector<std::string> names) {
-  const http::Answer answer = co_await call(http::Verb::post, "/hosts/release", release_body(names));
+  const http::ClientResponse answer = co_await call(http::Verb::post, "/hosts/release", release_body(names));
   if (const auto error = error_of(answer)) {
     spdlog::debug("cloud request failed request=release reason={} status={}", name_of(*error), answer.status);
     co_return *error;
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -76,7 +76,7 @@
   asio::awaitable<Result<Released>> release(std::vector<std::string> names);
 
  private:
-  asio::awaitable<http::Answer> call(http::Verb verb, std::string target, std::string body);
+  asio::awaitable<http::ClientResponse> call(http::Verb verb, std::string target, std::string body);
   asio::awaitable<void> wait_for_turn();
 
   std::unique_ptr<http::Transport> client_;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -79,22 +79,24 @@
     {"share", &Objective::share, 0, 1e9},
 };
 constexpr NumberField<Settings> kAgentFields[] = {
-    {"report_s", &Settings::report_s, 0.01, 3600},     {"lease_s", &Settings::lease_s, 0.1, 86400},
-    {"gang_wait_s", &Settings::gang_wait_s, 0, 86400}, {"gang_peer_s", &Settings::gang_peer_s, 0, 86400},
+    {"report_s", &Settings::heartbeat_interval_s, 0.01, 3600},
+    {"lease_s", &Settings::agent_lease_s, 0.1, 86400},
+    {"gang_wait_s", &Settings::gang_wait_s, 0, 86400},
+    {"gang_peer_s", &Settings::gang_peer_s, 0, 86400},
     {"cancel_s", &Settings::cancel_s, 0.1, 86400},
 };
 constexpr NumberField<Settings> kCloudFields[] = {
-    {"rps", &Settings::cloud_rps, 0.1, 1e6},
+    {"rps", &Settings::cloud_requests_per_s, 0.1, 1e6},
     {"list_lag_s", &Settings::cloud_list_lag_s, 0, 3600},
 };
 constexpr NumberField<Settings> kProcessFields[] = {
     {"core_share", &Settings::core_share, 0.001, 1024},
     {"ram_mb", &Settings::ram_mb, 0, 1e9},
 };
-constexpr NumberField<StateLimits> kStateLimitFields[] = {
-    {"rps", &StateLimits::requests_per_s, 1, 1e6},
-    {"write_rps", &StateLimits::writes_per_s, 1, 1e6},
-    {"value_kb", &StateLimits::value_kb, 1, 1e6},
+constexpr NumberField<StoreLimits> kStoreLimitFields[] = {
+    {"rps", &StoreLimits::requests_per_s, 1, 1e6},
+    {"write_rps", &StoreLimits::writes_per_s, 1, 1e6},
+    {"value_kb", &StoreLimits::max_value_kb, 1, 1e6},
 };
 
 Endpoint require_endpoint(View table, const char* key, const std::string& table_path) {
@@ -105,27 +107,27 @@
 }
 
 /// Reads the limits of one table; missing keys keep the values of `limits`.
-StateLimits read_state_limits(View table, const std::string& table_path, StateLimits limits) {
-  read_numbers(table, table_path, kStateLimitFields, limits);
-  limits.transaction_writes =
-      static_cast<int>(read_number(table, "txn_ops", table_path, limits.transaction_writes, 4, 1e6));
+StoreLimits read_store_limits(View table, const std::string& table_path, StoreLimits limits) {
+  read_numbers(table, table_path, kStoreLimitFields, limits);
+  limits.max_transaction_writes =
+      static_cast<int>(read_number(table, "txn_ops", table_path, limits.max_transaction_writes, 4, 1e6));
   return limits;
 }
 
 /// Returns the smaller of the current limits and those announced in `next`, field by field.
-StateLimits effective_state_limits(View table) {
+StoreLimits effective_store_limits(View table) {
   const std::string table_path = "deployment.state.";
-  const auto current = read_state_limits(table, table_path, {});
+  const auto current = read_store_limits(table, table_path, {});
   const View announced = table["next"];
   if (!announced) return current;
   if (!announced.is_table())
     throw SettingsError(table_path + "next", render_value(announced), "must be a table");
-  const auto next = read_state_limits(announced, table_path + "next.", current);
-  StateLimits smaller;
+  const auto next = read_store_limits(announced, table_path + "next.", current);
+  StoreLimits smaller;
   smaller.requests_per_s = std::min(current.requests_per_s, next.requests_per_s);
   smaller.writes_per_s = std::min(current.writes_per_s, next.writes_per_s);
-  smaller.value_kb = std::min(current.value_kb, next.value_kb);
-  smaller.transaction_writes = std::min(current.transaction_writes, next.transaction_writes);
+  smaller.max_value_kb = std::min(current.max_value_kb, next.max_value_kb);
+  smaller.max_transaction_writes = std::min(current.max_transaction_writes, next.max_transaction_writes);
   return smaller;
 }
 
@@ -181,7 +183,7 @@
 
 /// Reads the `deployment` table, which is the same for all controllers. `settings.members` is set before.
 void read_deployment(View table, Settings& settings) {
-  settings.nodes = static_cast<int>(
+  settings.controller_count = static_cast<int>(
       read_number(table, "nodes", "deployment.", static_cast<double>(settings.members.size() + 1), 1, 99));
   settings.zones = read_array<std::string>(table, "zones", read_zone);
   if (settings.zones.empty())
@@ -196,10 +198,10 @@
   settings.objectives = read_array<Objective>(table, "objectives", read_objective);
   read_numbers(table["workers"], "deployment.workers.", kAgentFields, settings);
   // With a smaller window every answer of a leader to an agent risks that a cancelled task outlives cancel_s.
-  if (settings.renewal_window_s() < 1)
+  if (settings.lease_renewal_window_s() < 1)
     throw SettingsError("deployment.workers.cancel_s", fmt::format("{}", settings.cancel_s),
-                        fmt::format("too close to lease_s = {}", settings.lease_s));
-  settings.state_limits = effective_state_limits(table["state"]);
+                        fmt::format("too close to lease_s = {}", settings.agent_lease_s));
+  settings.store_limits = effective_store_limits(table["state"]);
   read_numbers(table["cloud"], "deployment.cloud.", kCloudFields, settings);
   read_numbers(table["quota"], "deployment.quota.", kProcessFields, settings);
   settings.max_sockets = static_cast<int>(
@@ -218,19 +220,19 @@
 constexpr double kSmallestPositive = std::numeric_limits<double>::denorm_min();
 
 constexpr Property kProperties[] = {
-    {"usage.window_s", &Tuning::window_s, 1, 3600, "must be 1 to 3600"},
-    {"usage.windows", &Tuning::windows, 1, 1000, "must be 1 to 1000"},
-    {"usage.decay", &Tuning::decay, kSmallestPositive, 1, "must be above 0 and at most 1"},
+    {"usage.window_s", &Tuning::usage_window_s, 1, 3600, "must be 1 to 3600"},
+    {"usage.windows", &Tuning::usage_windows, 1, 1000, "must be 1 to 1000"},
+    {"usage.decay", &Tuning::usage_decay, kSmallestPositive, 1, "must be above 0 and at most 1"},
     {"rank.image_factor", &Tuning::image_factor, 0, kUnlimited, "must not be negative"},
     {"rank.size_factor", &Tuning::size_factor, 0, kUnlimited, "must not be negative"},
     {"rank.usage_factor", &Tuning::usage_factor, 0, kUnlimited, "must not be negative"},
-    {"round_s", &Tuning::round_s, 0.1, 60, "must be 0.1 to 60"},
+    {"round_s", &Tuning::scheduling_interval_s, 0.1, 60, "must be 0.1 to 60"},
     {"parts.per_zone", &Tuning::partitions_per_zone, 0, 64, "must be 0 to 64"},
     {"member.ttl_s", &Tuning::member_ttl_s, 0.5, 600, "must be 0.5 to 600"},
-    {"state.flush_s", &Tuning::flush_s, 0.02, 2, "must be 0.02 to 2"},
-    {"state.sync_s", &Tuning::sync_s, 0.05, 2, "must be 0.05 to 2"},
-    {"state.sync_least_s", &Tuning::sync_least_s, 0.01, kUnlimited, "must be 0.01 to state.sync_s"},
-    {"hire.idle_return_s", &Tuning::idle_return_s, 1, kUnlimited, "must be at least 1"},
+    {"state.flush_s", &Tuning::write_batch_interval_s, 0.02, 2, "must be 0.02 to 2"},
+    {"state.sync_s", &Tuning::max_sync_interval_s, 0.05, 2, "must be 0.05 to 2"},
+    {"state.sync_least_s", &Tuning::min_sync_interval_s, 0.01, kUnlimited, "must be 0.01 to state.sync_s"},
+    {"hire.idle_return_s", &Tuning::scale_in_idle_s, 1, kUnlimited, "must be at least 1"},
     {"hire.batch", &Tuning::scale_out_batch, 1, 50, "must be 1 to 50"},
     {"gather.patience_s", &Tuning::gang_reservation_delay_s, 0, kUnlimited, "must not be negative"},
 };
@@ -285,8 +287,8 @@
   settings.listen = require_endpoint(root, "bind", "");
   settings.peer_listen = require_endpoint(root, "peer_listen", "");
   settings.members = read_array<Member>(root, "members", read_member);
-  settings.cloud = require_endpoint(root["endpoints"], "cloud", "endpoints.");
-  settings.state = require_endpoint(root["endpoints"], "state", "endpoints.");
+  settings.cloud_endpoint = require_endpoint(root["endpoints"], "cloud", "endpoints.");
+  settings.store_endpoint = require_endpoint(root["endpoints"], "state", "endpoints.");
   read_deployment(root["deployment"], settings);
   return settings;
 }
@@ -300,8 +302,8 @@
   constexpr double kTolerance = 1e-6;
   const double sum = tuning.image_factor + tuning.size_factor + tuning.usage_factor;
   require(std::abs(sum - 1) < kTolerance, "rank.image_factor+size_factor+usage_factor", sum, "must sum to 1");
-  require(tuning.sync_least_s <= tuning.sync_s, "state.sync_least_s", tuning.sync_least_s,
-          "must be 0.01 to state.sync_s");
+  require(tuning.min_sync_interval_s <= tuning.max_sync_interval_s, "state.sync_least_s",
+          tuning.min_sync_interval_s, "must be 0.01 to state.sync_s");
 }
 
 Tuning load_properties(const std::string& path) {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -49,21 +49,23 @@
 };
 
 /// Limits that the key-value store enforces. Derived limits are computed only here.
-struct StateLimits {
+struct StoreLimits {
   double requests_per_s = 100;
   double writes_per_s = 20;  // puts and deletes
-  double value_kb = 8;       // of one value
-  int transaction_writes = 16;
+  double max_value_kb = 8;   // of one value
+  int max_transaction_writes = 16;
 
   // The size limit of one value, less a reserve of 5% for content that size estimates omit.
-  [[nodiscard]] std::size_t value_bytes() const { return static_cast<std::size_t>(value_kb * 1024 * 0.95); }
-  [[nodiscard]] std::size_t max_writes() const { return static_cast<std::size_t>(transaction_writes); }
+  [[nodiscard]] std::size_t max_value_bytes() const {
+    return static_cast<std::size_t>(max_value_kb * 1024 * 0.95);
+  }
+  [[nodiscard]] std::size_t max_writes() const { return static_cast<std::size_t>(max_transaction_writes); }
   [[nodiscard]] std::size_t max_compares() const { return 4 * max_writes(); }
   // The most values of full size in one transaction, whose body is limited as well.
   [[nodiscard]] std::size_t max_full_values() const {
     // Of the 64 KB that the protocol allows, the rest is for conditions and one more value.
     constexpr double kMaxBodyKb = 40;
-    return std::max<std::size_t>(1, static_cast<std::size_t>(kMaxBodyKb / value_kb));
+    return std::max<std::size_t>(1, static_cast<std::size_t>(kMaxBodyKb / max_value_kb));
   }
 };
 
@@ -74,27 +76,27 @@
   Endpoint listen;
   Endpoint peer_listen;
   std::vector<Member> members;  // the other controllers
-  Endpoint cloud;
-  Endpoint state;
-  int nodes = 1;
+  Endpoint cloud_endpoint;
+  Endpoint store_endpoint;
+  int controller_count = 1;  // this one included
   std::vector<std::string> zones;
   double clock_error_s = 0;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 3, lease_s = 30, gang_wait_s = 40, gang_peer_s = 6, cancel_s = 60;
+  double heartbeat_interval_s = 3, agent_lease_s = 30, gang_wait_s = 40, gang_peer_s = 6, cancel_s = 60;
   // The smaller of the current limits and those announced in `state.next`, which may apply at any time.
-  StateLimits state_limits;
-  double cloud_rps = 5, cloud_list_lag_s = 5;
+  StoreLimits store_limits;
+  double cloud_requests_per_s = 5, cloud_list_lag_s = 5;
   double core_share = 1, ram_mb = 0;
   int max_sockets = 1000;
 
   /// Returns how old a leader's knowledge of cancellations may be while it still answers agents (rule
-  /// `ran_cancelled`). Another controller may cancel a job just after that knowledge was current, and an
-  /// agent that is answered at the last moment keeps its tasks for another lease, counted from its heartbeat.
-  /// 1% of a lease covers clock drift; the reserve covers other delays.
-  [[nodiscard]] double renewal_window_s() const {
+  /// `ran_cancelled`). Another controller may confirm a cancellation just after that knowledge was current,
+  /// and an agent that is answered at the last moment keeps its tasks for another lease, counted from its
+  /// heartbeat. 1% of a lease covers clock drift; the reserve covers other delays.
+  [[nodiscard]] double lease_renewal_window_s() const {
     constexpr double kLeaseWithDrift = 1.01, kReserveS = 3.0;
-    return cancel_s - lease_s * kLeaseWithDrift - kReserveS;
+    return cancel_s - agent_lease_s * kLeaseWithDrift - kReserveS;
   }
 };
 
@@ -103,19 +105,19 @@
 
 /// The operators' settings.
 struct Tuning {
-  double window_s = 30;       // length of a usage window
-  int windows = 12;           // usage windows kept
-  double decay = 0.8;         // weight of a window relative to the next newer one
-  double image_factor = 0.3;  // the three factors sum to 1
+  double usage_window_s = 30;  // length of a usage window
+  int usage_windows = 12;      // usage windows kept
+  double usage_decay = 0.8;    // weight of a window relative to the next newer one
+  double image_factor = 0.3;   // the three factors sum to 1
   double size_factor = 0.1;
   double usage_factor = 0.6;
-  double round_s = 2;                    // interval of scheduling rounds
+  double scheduling_interval_s = 2;      // interval of scheduling rounds
   int partitions_per_zone = 0;           // 0 means controllers / (2 * zones), at least 1
   double member_ttl_s = 3;               // store lease of a controller's membership
-  double flush_s = 0.25;                 // interval at which records are batched into writes
-  double sync_s = 0.25;                  // longest interval between reads of the store's changes
-  double sync_least_s = 0.12;            // shortest interval, while users wait for a read
-  double idle_return_s = 600;            // a rented machine that is idle longer is released
+  double write_batch_interval_s = 0.25;  // longest time that records are batched before a write
+  double max_sync_interval_s = 0.25;     // longest interval between reads of the store's changes
+  double min_sync_interval_s = 0.12;     // shortest interval, while users wait for a read
+  double scale_in_idle_s = 600;          // a rented machine that is idle longer is released
   int scale_out_batch = 4;               // most machines per scale-out request, unless half the need is more
   double gang_reservation_delay_s = 10;  // a gang that waits longer gets a reservation
 };
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -74,7 +74,7 @@
       fence_due(partitions.size(), 0),
       fenced_at(partitions.size(), 0),
       usage(partitions.size(),
-            ledger::UsageWindows(settings.teams.size(), tuning.window_s, tuning.windows, tuning.decay)),
+            ledger::UsageWindows(settings.teams.size(), tuning.usage_window_s, tuning.usage_windows, tuning.usage_decay)),
       usage_from(partitions.size(), 0) {
   for (const auto& team : settings.teams) shares.push_back(fair_share_weight(team));
 }
@@ -106,14 +106,14 @@
 core::TimePoint ControllerState::cancellations_known_at(core::TimePoint now) const {
   // A controller that the settings don't name might confirm some, and tells us nothing.
   const auto controllers_named = static_cast<int>(cancellations_confirmed_at.size()) + 1;
-  if (controllers_named < settings.nodes) return synchronized_at;
+  if (controllers_named < settings.controller_count) return synchronized_at;
   core::TimePoint confirmed_by_all = now;
   for (const auto at : cancellations_confirmed_at) confirmed_by_all = std::min(confirmed_by_all, at);
   return std::max(synchronized_at, confirmed_by_all);
 }
 
 bool ControllerState::may_renew_leases(core::TimePoint now) const {
-  return core::since(cancellations_known_at(now), now) < settings.renewal_window_s();
+  return core::since(cancellations_known_at(now), now) < settings.lease_renewal_window_s();
 }
 
 double ControllerState::silent_s(const agent::Machine& machine, core::TimePoint now) const {
@@ -128,7 +128,7 @@
     return false;
   // A new leader has its answers to the new fencing token before the agent comes by itself.
   const auto seen = std::max(machine.last_heartbeat, leading_since.at(machine.partition.index));
-  return core::since(seen, now) < kHeartbeatsMissed * settings.report_s + kHeartbeatDelayS;
+  return core::since(seen, now) < kHeartbeatsMissed * settings.heartbeat_interval_s + kHeartbeatDelayS;
 }
 
 core::Resources ControllerState::used_on(core::MachineId id) const {
@@ -143,7 +143,7 @@
                                              core::TimePoint now, bool direct) {
   const bool may_start = core::since(synchronized_at, now) < kMaxStateAgeToStartS;
   return agent::handle_heartbeat({names, cache, fleet, job_failures, fencing_token(machine.partition), now,
-                                  settings.lease_s, may_start, direct},
+                                  settings.agent_lease_s, may_start, direct},
                                  machine, heartbeat);
 }
 
@@ -185,7 +185,7 @@
   if (!spec.deadline_s) return false;
   if (!only_deadlines_asked(settings.objectives, names.job_classes.name(spec.job_class))) return false;
   const double needs_s = spec.expected_run_s * kRunTimeMargin + spec.image_gb * kImageFetchSPerGb +
-                         kHeartbeatsToStart * settings.report_s;
+                         kHeartbeatsToStart * settings.heartbeat_interval_s;
   return spec.submitted_s + *spec.deadline_s - now_s > needs_s;
 }
 
--- a/src/coordination/peer_table.cpp
+++ b/src/coordination/peer_table.cpp
@@ -32,11 +32,11 @@
                      [&](core::TimePoint heard) { return core::since(heard, now) < seconds; });
 }
 
-asio::awaitable<http::Answer> PeerRelay::call(http::Verb verb, std::string target, std::string body,
+asio::awaitable<http::ClientResponse> PeerRelay::call(http::Verb verb, std::string target, std::string body,
                                               std::chrono::milliseconds limit) {
   const auto peer = peers_.in_touch_with_store();
   if (!peer) {
-    http::Answer not_sent;
+    http::ClientResponse not_sent;
     not_sent.status = http::status::kServiceUnavailable;
     co_return not_sent;
   }
@@ -45,9 +45,9 @@
   co_return read_relayed_response(frame);
 }
 
-http::Answer read_relayed_response(const std::optional<std::string>& frame) {
+http::ClientResponse read_relayed_response(const std::optional<std::string>& frame) {
   const auto reply = peer::decode_answer<peer::Reply>(frame);
-  return reply ? http::Answer{reply->status, reply->body} : http::Answer{};
+  return reply ? http::ClientResponse{reply->status, reply->body} : http::ClientResponse{};
 }
 
 }  // namespace finchrun::coordination
--- a/src/coordination/peer_table.hpp
+++ b/src/coordination/peer_table.hpp
@@ -53,7 +53,7 @@
 class PeerRelay : public http::Transport {
  public:
   explicit PeerRelay(PeerTable& peers) : peers_(peers) {}
-  asio::awaitable<http::Answer> call(http::Verb verb, std::string target, std::string body,
+  asio::awaitable<http::ClientResponse> call(http::Verb verb, std::string target, std::string body,
                                      std::chrono::milliseconds limit) override;
 
  private:
@@ -61,6 +61,6 @@
 };
 
 /// The HTTP response in a peer's answer; status 0 if none came, or one that can't be read.
-http::Answer read_relayed_response(const std::optional<std::string>& frame);
+http::ClientResponse read_relayed_response(const std::optional<std::string>& frame);
 
 }  // namespace finchrun::coordination
--- a/src/coordination/state_follower.cpp
+++ b/src/coordination/state_follower.cpp
@@ -104,11 +104,11 @@
 }
 
 asio::awaitable<void> StateFollower::pause_after(ReadOutcome read) {
-  co_await spacing_.wait(tuning_.sync_least_s);
+  co_await spacing_.wait(tuning_.min_sync_interval_s);
   if (read != ReadOutcome::applied) {
     co_await runtime_.sleep(kReadRetryS);
   } else if (waiters_.empty()) {
-    co_await wakeup_.wait(tuning_.sync_s);
+    co_await wakeup_.wait(tuning_.max_sync_interval_s);
   }
 }
 
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -94,7 +94,7 @@
   if (spreads && spec.one_zone) return Impossible::one_zone_and_spread;
   if (spreads && zones.size() < 2) return Impossible::no_second_zone;
   if (spec.gang() &&
-      spec.tasks > assignments::AssignmentWriter::most_assignments(state.settings.state_limits))
+      spec.tasks > assignments::AssignmentWriter::most_assignments(state.settings.store_limits))
     return Impossible::too_many_to_start_at_once;
   return std::nullopt;
 }
@@ -112,7 +112,7 @@
     state.load.waiting.at(range.partition.index) +=
         record.spec.need * static_cast<double>(range.to - range.from);
   auto value = jobs::to_json(record, state.names);
-  if (boost::json::serialize(value).size() > state.settings.state_limits.value_bytes())
+  if (boost::json::serialize(value).size() > state.settings.store_limits.max_value_bytes())
     return NeverRuns{longest_field(submission)};
   Admitted admitted;
   admitted.transaction.compares.push_back({state::keys::job(submission.id), 0});
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -88,7 +88,7 @@
     if (!partition) return std::nullopt;
     auto& machine = state.fleet.see(state.names, heartbeat->machine, now);
     const auto forwarding =
-        decide_forwarding(machine, *heartbeat, state.fencing_token(*partition), state.settings.report_s, now);
+        decide_forwarding(machine, *heartbeat, state.fencing_token(*partition), state.settings.heartbeat_interval_s, now);
     machine.relayed = forwarding == Forwarding::relay_unasked;
     if (!machine.relayed) machine.redirected_at = now;
     const auto& leader = state.cache.leadership(*partition).leader;
--- a/src/gateway/direct_commands.cpp
+++ b/src/gateway/direct_commands.cpp
@@ -69,7 +69,7 @@
   return "";
 }
 
-CommandAnswer interpret_answer(const http::Answer& answer) {
+CommandAnswer interpret_answer(const http::ClientResponse& answer) {
   CommandAnswer result;
   auto parsed = wire::parse_heartbeat(answer.body);
   auto* heartbeat = std::get_if<wire::Heartbeat>(&parsed);
@@ -100,7 +100,7 @@
   for (const auto& [id, machine] : state.fleet.all()) {
     if (!may_be_probed(state, machine)) continue;
     const bool silent =
-        state.silent_s(machine, now) > state.settings.lease_s && !state.cache.on_machine(id).empty();
+        state.silent_s(machine, now) > state.settings.agent_lease_s && !state.cache.on_machine(id).empty();
     const bool obeys =
         machine.has_heartbeat && machine.fencing_token >= state.fencing_token(machine.partition);
     if (obeys && !machine.unreachable() && !silent) continue;
--- a/src/gateway/direct_commands.hpp
+++ b/src/gateway/direct_commands.hpp
@@ -32,7 +32,7 @@
   }
 };
 
-CommandAnswer interpret_answer(const http::Answer& answer);
+CommandAnswer interpret_answer(const http::ClientResponse& answer);
 
 /// The machines whose agents should be probed now, 16 at most: first those that do not know our fencing
 /// token, then whoever was probed longest ago. Rule `ran_twice` rests on agents that know the newest fencing
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -19,12 +19,12 @@
 // The store's content comes in smaller pages.
 constexpr std::uint64_t kMaxResponseBytes = std::uint64_t{64} * 1024 * 1024;
 
-asio::awaitable<Code> connect(Socket& socket, const config::Endpoint& endpoint) {
+asio::awaitable<ErrorCode> connect(Socket& socket, const config::Endpoint& endpoint) {
   const asio::ip::tcp::endpoint address(asio::ip::make_address_v4(endpoint.host), endpoint.port);
-  Code ec;
+  ErrorCode ec;
   co_await socket.async_connect(address, asio::redirect_error(asio::use_awaitable, ec));
   if (ec) co_return ec;
-  Code ignored;
+  ErrorCode ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
   co_return ec;
@@ -46,8 +46,8 @@
   return connection;
 }
 
-asio::awaitable<Answer> Client::call(Verb verb, std::string target, std::string body,
-                                     std::chrono::milliseconds timeout) {
+asio::awaitable<ClientResponse> Client::call(Verb verb, std::string target, std::string body,
+                                             std::chrono::milliseconds timeout) {
   bhttp::request<bhttp::string_body> request(verb, target, kHttp11);
   request.set(bhttp::field::host, endpoint_.text());
   if (!body.empty()) request.set(bhttp::field::content_type, "application/json");
@@ -62,26 +62,26 @@
     const bool reused = connection != nullptr;
     if (!reused) connection = std::make_unique<Socket>(executor_);
     const core::Deadlines::Guard guard(deadlines_, *connection, deadline);
-    Code ec;
+    ErrorCode ec;
     if (!reused) ec = co_await connect(*connection, endpoint_);
-    if (ec) co_return Answer{};
+    if (ec) co_return ClientResponse{};
     ec = co_await send(*connection, request);
     if (ec) {
       if (reused && core::Steady::now() < deadline) continue;
-      co_return Answer{};
+      co_return ClientResponse{};
     }
     beast::flat_buffer buffer;
     bhttp::response_parser<bhttp::string_body> parser;
     parser.body_limit(kMaxResponseBytes);
     ec = co_await receive(*connection, buffer, parser);
-    if (ec) co_return Answer{};
-    Answer answer{static_cast<int>(parser.get().result_int()), std::move(parser.get().body())};
+    if (ec) co_return ClientResponse{};
+    ClientResponse answer{static_cast<int>(parser.get().result_int()), std::move(parser.get().body())};
     // The deadline may have closed the connection by now, and a closed one must not be reused.
     if (parser.keep_alive() && idle_connections_.size() < max_idle_connections_ && connection->is_open())
       idle_connections_.push_back(std::move(connection));
     co_return answer;
   }
-  co_return Answer{};
+  co_return ClientResponse{};
 }
 
 }  // namespace finchrun::http
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -18,8 +18,8 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  asio::awaitable<Answer> call(Verb verb, std::string target, std::string body,
-                               std::chrono::milliseconds timeout) override;
+  asio::awaitable<ClientResponse> call(Verb verb, std::string target, std::string body,
+                                       std::chrono::milliseconds timeout) override;
 
  private:
   using Connection = std::unique_ptr<boost::asio::ip::tcp::socket>;
--- a/src/http/exchange.hpp
+++ b/src/http/exchange.hpp
@@ -12,41 +12,41 @@
 
 namespace asio = boost::asio;
 using Socket = asio::ip::tcp::socket;
-using Code = boost::system::error_code;
+using ErrorCode = boost::system::error_code;
 
-inline asio::awaitable<Code> wait_for(Socket& socket, Socket::wait_type readiness) {
-  Code ec;
+inline asio::awaitable<ErrorCode> wait_for(Socket& socket, Socket::wait_type readiness) {
+  ErrorCode ec;
   co_await socket.async_wait(readiness, asio::redirect_error(asio::use_awaitable, ec));
   co_return ec;
 }
 
 // Reads until the parser is done. The socket must be non-blocking.
 template <class Buffer, class Parser>
-asio::awaitable<Code> receive(Socket& socket, Buffer& buffer, Parser& parser) {
+asio::awaitable<ErrorCode> receive(Socket& socket, Buffer& buffer, Parser& parser) {
   parser.eager(true);
   bool must_wait = buffer.size() == 0;
   while (!parser.is_done()) {
     if (must_wait) {
-      if (const Code ec = co_await wait_for(socket, Socket::wait_read)) co_return ec;
+      if (const ErrorCode ec = co_await wait_for(socket, Socket::wait_read)) co_return ec;
     }
-    Code ec;
+    ErrorCode ec;
     boost::beast::http::read_some(socket, buffer, parser, ec);
     must_wait = ec == asio::error::would_block;
     if (ec && !must_wait) co_return ec;
   }
-  co_return Code{};
+  co_return ErrorCode{};
 }
 
 template <class Message>
-asio::awaitable<Code> send(Socket& socket, Message& message) {
+asio::awaitable<ErrorCode> send(Socket& socket, Message& message) {
   boost::beast::http::serializer<Message::is_request::value, typename Message::body_type> serializer(message);
   while (!serializer.is_done()) {
-    Code ec;
+    ErrorCode ec;
     boost::beast::http::write_some(socket, serializer, ec);
     if (ec == asio::error::would_block) ec = co_await wait_for(socket, Socket::wait_write);
     if (ec) co_return ec;
   }
-  co_return Code{};
+  co_return ErrorCode{};
 }
 
 }  // namespace finchrun::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -39,14 +39,14 @@
 }
 
 // Returns whether the parser found an error in the request, as opposed to an error of the connection.
-bool is_malformed(const Code& ec) {
+bool is_malformed(const ErrorCode& ec) {
   return ec && ec != bhttp::error::end_of_stream &&
          ec.category() == bhttp::make_error_code(bhttp::error::bad_method).category();
 }
 
 // Returns the response to an invalid request, which the handler does not get. Where the next request begins
 // is unknown, so the connection is closed afterwards.
-std::optional<Response> rejection_of(const Code& ec) {
+std::optional<Response> rejection_of(const ErrorCode& ec) {
   if (ec == bhttp::error::body_limit || ec == bhttp::error::header_limit)
     return Response{status::kPayloadTooLarge, R"({"error":"request too large"})"};
   if (is_malformed(ec)) return Response{status::kBadRequest, R"({"error":"malformed request"})"};
@@ -72,7 +72,7 @@
 // Serves the requests of one connection, one after the other.
 asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<Handler> handler, OpenConnection,
                                        std::shared_ptr<core::Deadlines> deadlines) {
-  Code ec;
+  ErrorCode ec;
   socket.set_option(asio::ip::tcp::no_delay(true), ec);
   socket.non_blocking(true, ec);
   core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kReadTimeout);
--- a/src/http/transport.hpp
+++ b/src/http/transport.hpp
@@ -16,7 +16,7 @@
 using Verb = boost::beast::http::verb;
 
 /// The response to a request. After `status::kNoAnswer` the request may have been executed or may be later.
-struct Answer {
+struct ClientResponse {
   int status = status::kNoAnswer;
   std::string body;
 };
@@ -26,8 +26,8 @@
  public:
   virtual ~Transport() = default;
   /// Sends one request; never throws, and returns `kNoAnswer` after `timeout`.
-  virtual asio::awaitable<Answer> call(Verb verb, std::string target, std::string body,
-                                       std::chrono::milliseconds timeout) = 0;
+  virtual asio::awaitable<ClientResponse> call(Verb verb, std::string target, std::string body,
+                                               std::chrono::milliseconds timeout) = 0;
 };
 
 /// Creates transports over TCP or a simulated network.
--- a/src/membership/partition_map.hpp
+++ b/src/membership/partition_map.hpp
@@ -24,7 +24,7 @@
 // One part a zone unless there are several controllers for each zone: a gang then stays within a partition.
 inline int partitions_per_zone(const config::Settings& s, const config::Tuning& t) {
   return t.partitions_per_zone > 0 ? t.partitions_per_zone
-                                   : std::max(1, s.nodes / (2 * static_cast<int>(s.zones.size())));
+                                   : std::max(1, s.controller_count / (2 * static_cast<int>(s.zones.size())));
 }
 
 class PartitionMap {
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 using tcp = asio::ip::tcp;
-using http::Code;
+using http::ErrorCode;
 using http::Socket;
 
 constexpr std::size_t kMaxIdleConnections = 3;  // to one controller
@@ -43,7 +43,7 @@
 }
 
 void prepare(Socket& socket) {
-  Code ignored;  // a socket that is broken shows it in the first read or write
+  ErrorCode ignored;  // a socket that is broken shows it in the first read or write
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
 }
@@ -52,7 +52,7 @@
 asio::awaitable<bool> write_frame(Socket& socket, std::string frame) {
   const std::string bytes = with_size(frame);
   for (std::size_t written = 0; written < bytes.size();) {
-    Code ec;
+    ErrorCode ec;
     written += socket.write_some(asio::buffer(bytes.data() + written, bytes.size() - written), ec);
     if (ec == asio::error::would_block) ec = co_await http::wait_for(socket, Socket::wait_write);
     if (ec) co_return false;
@@ -67,8 +67,8 @@
   std::array<char, kReadChunkBytes> chunk;
   std::optional<std::size_t> size;
   while (!size || bytes.size() < kSizeBytes + *size) {
-    if (const Code ec = co_await http::wait_for(socket, Socket::wait_read)) co_return std::nullopt;
-    Code ec;
+    if (const ErrorCode ec = co_await http::wait_for(socket, Socket::wait_read)) co_return std::nullopt;
+    ErrorCode ec;
     const auto count = socket.read_some(asio::buffer(chunk), ec);
     if (ec && ec != asio::error::would_block) co_return std::nullopt;
     bytes.append(chunk.data(), count);
@@ -97,7 +97,7 @@
 }
 
 asio::awaitable<bool> connect(Socket& socket, const config::Endpoint& to) {
-  Code ec;
+  ErrorCode ec;
   const tcp::endpoint endpoint(asio::ip::make_address_v4(to.host), to.port);
   co_await socket.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, ec));
   if (ec) co_return false;
@@ -133,7 +133,7 @@
   auto shared_handler = std::make_shared<FrameHandler>(std::move(handler));
   core::InFlightCounter connections;
   auto deadlines = std::make_shared<core::Deadlines>(executor, kServerDeadlineTick);
-  Code ec;
+  ErrorCode ec;
   while (true) {
     Socket socket(executor);
     co_await acceptor.async_accept(socket, asio::redirect_error(asio::use_awaitable, ec));
--- a/src/scheduling/partition_writer.cpp
+++ b/src/scheduling/partition_writer.cpp
@@ -38,7 +38,7 @@
   controller::Wakeup pause(runtime_.io());
   while (true) {
     co_await pause.wait(kLeastPauseS);
-    co_await wakeup_.wait(std::max(0.0, tuning_.flush_s - kLeastPauseS));
+    co_await wakeup_.wait(std::max(0.0, tuning_.write_batch_interval_s - kLeastPauseS));
     share_write_budget();
     const auto now = core::Steady::now();
     const auto cache_version = state_.with([](ControllerState& state) { return state.cache.version(); });
@@ -48,7 +48,7 @@
       co_await exits_.flush();
     }
     if (now >= next_usage) {
-      next_usage = now + runtime_.jitter(tuning_.window_s / kUsageRecordsPerWindow);
+      next_usage = now + runtime_.jitter(tuning_.usage_window_s / kUsageRecordsPerWindow);
       co_await usage_.record();
     }
   }
@@ -60,8 +60,8 @@
 }
 
 asio::awaitable<void> PartitionWriter::run_round(core::TimePoint now, std::uint64_t cache_version) {
-  next_round_ = now + core::secs(tuning_.round_s);
-  const double round_s = std::min(tuning_.round_s * kMostRoundsBooked, core::since(last_round_, now));
+  next_round_ = now + core::secs(tuning_.scheduling_interval_s);
+  const double round_s = std::min(tuning_.scheduling_interval_s * kMostRoundsBooked, core::since(last_round_, now));
   last_round_ = now;
   round_version_ = cache_version;
   // Its transactions take along what has ended, so that a flush has little left to write.
@@ -77,7 +77,7 @@
     for (std::uint32_t p = 0; p < state.partitions.size(); ++p)
       if (const auto& leader = state.cache.leadership(core::PartitionId{p}).leader; !leader.empty())
         leaders.insert(leader);
-    return share_of_writes(leaders.size(), state.settings.nodes, leaders.contains(state.settings.label));
+    return share_of_writes(leaders.size(), state.settings.controller_count, leaders.contains(state.settings.label));
   }));
 }
 
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -118,7 +118,7 @@
   for (const auto& placed : state.cache.on_machine(machine)) {
     const auto* job = state.cache.job(placed.job);
     if (!job || job->status != jobs::Status::live) continue;
-    if (!must_evict(termination_notice_s, job->spec, state.settings.report_s)) continue;
+    if (!must_evict(termination_notice_s, job->spec, state.settings.heartbeat_interval_s)) continue;
     if (job->spec.gang()) {
       gangs.insert(placed.job);
     } else {
@@ -205,7 +205,7 @@
                    state.names.jobs.name(demand.job), demand.tasks.size(), reservation.machines.size(),
                    state.names.partitions.name(partition), reservation.ready_in_s);
       const double lasts_s = std::min(kLongestReservationS, reservation.ready_in_s * kReservationMargin +
-                                                                kHeartbeatsForStop * state.settings.report_s +
+                                                                kHeartbeatsForStop * state.settings.heartbeat_interval_s +
                                                                 kReservationSlackS);
       for (const auto machine : reservation.machines)
         reserve_machine(state, machine, demand.job, reservation.ready_in_s, lasts_s, now);
@@ -230,7 +230,7 @@
                    state.names.jobs.name(demand.job));
       stops[victim.machine].push_back({wire::Command::Kind::stop, job, victim.task, victim.attempt, grace_s});
     }
-    const double lasts_s = longest_grace_s + kHeartbeatsForStop * state.settings.report_s + kStopSlackS;
+    const double lasts_s = longest_grace_s + kHeartbeatsForStop * state.settings.heartbeat_interval_s + kStopSlackS;
     for (const auto machine : preemption.machines)
       reserve_machine(state, machine, demand.job, longest_grace_s, lasts_s, now);
   });
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -88,7 +88,7 @@
     next.ranges = move_tasks(job.ranges, item.partition, destination.partition, moved);
   }
   auto value = jobs::to_json(next, state.names);
-  if (boost::json::serialize(value).size() > state.settings.state_limits.value_bytes()) return std::nullopt;
+  if (boost::json::serialize(value).size() > state.settings.store_limits.max_value_bytes()) return std::nullopt;
 
   const auto& job_name = state.names.jobs.name(item.demand.job);
   const auto& from = state.names.partitions.name(item.partition);
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -66,7 +66,7 @@
   if (state.leads(partition)) return state.usage[partition.index].decayed();
   const auto& record = state.cache.usage(partition);
   const auto& tuning = state.tuning;
-  ledger::UsageWindows windows(state.settings.teams.size(), tuning.window_s, tuning.windows, tuning.decay);
+  ledger::UsageWindows windows(state.settings.teams.size(), tuning.usage_window_s, tuning.usage_windows, tuning.usage_decay);
   windows.restore(record.index, record.windows);
   windows.roll(wall_s);
   return windows.decayed();
--- a/src/scheduling/scheduling_round.cpp
+++ b/src/scheduling/scheduling_round.cpp
@@ -92,7 +92,7 @@
       sched::place(std::move(partition_view.nodes), demands, demand_costs, partition_view.team_quotas);
   auto pieces =
       recordable_pieces(partition, partition_view.fencing_token, plan.placements, demands, demand_costs,
-                        assignments::AssignmentWriter::most_assignments(settings_.state_limits));
+                        assignments::AssignmentWriter::most_assignments(settings_.store_limits));
   subtract_placed(plan, demands);
   preemptor_.make_room(partition, plan, demands, view, machines, now);
   if (spdlog::should_log(spdlog::level::debug)) log_partition(partition, plan, demands);
--- a/src/scheduling/usage_recorder.cpp
+++ b/src/scheduling/usage_recorder.cpp
@@ -15,7 +15,7 @@
     transaction.compares.push_back({state::keys::partition(name), fencing_token});
     const state::UsageRecord usage{state.usage[p].index(), state.usage[p].windows(), 0};
     transaction.writes.push_back(
-        {state::keys::usage(name), state::encode(usage, state.settings.state_limits.value_bytes())});
+        {state::keys::usage(name), state::encode(usage, state.settings.store_limits.max_value_bytes())});
     transactions.push_back(std::move(transaction));
   }
   return transactions;
--- a/src/state/key_value_store.cpp
+++ b/src/state/key_value_store.cpp
@@ -41,12 +41,12 @@
 
 KeyValueStore::KeyValueStore(http::Network& network, const config::Settings& settings,
                              std::unique_ptr<http::Transport> peer_relay)
-    : client_(network.connect(settings.state, kConnections)),
-      renewals_(network.connect(settings.state, kRenewalConnections)),
+    : client_(network.connect(settings.store_endpoint, kConnections)),
+      renewals_(network.connect(settings.store_endpoint, kRenewalConnections)),
       peer_relay_(std::move(peer_relay)),
-      limits_(settings.state_limits),
-      requests_(limiter(limits_.requests_per_s, settings.nodes, kRequestBurstS)),
-      writes_(limiter(limits_.writes_per_s, settings.nodes, kWriteBurstS)) {}
+      limits_(settings.store_limits),
+      requests_(limiter(limits_.requests_per_s, settings.controller_count, kRequestBurstS)),
+      writes_(limiter(limits_.writes_per_s, settings.controller_count, kWriteBurstS)) {}
 
 void KeyValueStore::use_share_of_writes(double share) {
   // Submissions that come together, where little else is written; a quarter of what the service grants at
@@ -65,7 +65,7 @@
 
 // 503 means that the request was not executed, so it may be sent another way. Without any answer that is only
 // true of reads; a write might have been applied, and its caller must read it back.
-asio::awaitable<http::Answer> KeyValueStore::call_or_relay(http::Transport& direct, http::Verb verb,
+asio::awaitable<http::ClientResponse> KeyValueStore::call_or_relay(http::Transport& direct, http::Verb verb,
                                                            std::string target, std::string body) {
   const bool read = verb == http::Verb::get;
   const bool refused = core::since(refused_at_, core::Steady::now()) < kRefusedForS;
@@ -78,22 +78,22 @@
   co_return answer;
 }
 
-asio::awaitable<http::Answer> KeyValueStore::forward(http::Verb verb, std::string target, std::string body) {
+asio::awaitable<http::ClientResponse> KeyValueStore::forward(http::Verb verb, std::string target, std::string body) {
   if (!requests_.take(1, kForwardReserve, core::Steady::now()))
-    co_return http::Answer{http::status::kTooManyRequests, {}};
+    co_return http::ClientResponse{http::status::kTooManyRequests, {}};
   co_return co_await client_->call(verb, std::move(target), std::move(body), kTimeout);
 }
 
-asio::awaitable<http::Answer> KeyValueStore::call(http::Verb verb, std::string target, std::string body,
+asio::awaitable<http::ClientResponse> KeyValueStore::call(http::Verb verb, std::string target, std::string body,
                                                   double reserve) {
   if (!requests_.take(1, reserve, core::Steady::now()))
-    co_return http::Answer{http::status::kTooManyRequests, {}};
-  http::Answer answer = co_await call_or_relay(*client_, verb, std::move(target), std::move(body));
+    co_return http::ClientResponse{http::status::kTooManyRequests, {}};
+  http::ClientResponse answer = co_await call_or_relay(*client_, verb, std::move(target), std::move(body));
   if (answer.status == http::status::kTooManyRequests) requests_.refused(core::Steady::now());
   co_return answer;
 }
 
-asio::awaitable<http::Answer> KeyValueStore::call_without_waiting(std::string target, std::string body) {
+asio::awaitable<http::ClientResponse> KeyValueStore::call_without_waiting(std::string target, std::string body) {
   requests_.take(1, kOverdraft, core::Steady::now());
   co_return co_await call_or_relay(*renewals_, http::Verb::post, std::move(target), std::move(body));
 }
@@ -120,7 +120,7 @@
     not_sent.outcome = CommitStatus::too_large;
     co_return not_sent;
   }
-  const http::Answer answer =
+  const http::ClientResponse answer =
       co_await call(http::Verb::post, "/commit", std::move(body.text), kCommitReserve);
   if (answer.status == http::status::kTooManyRequests) writes_.refused(core::Steady::now());
   auto result = commit_result(answer);
@@ -129,22 +129,22 @@
 }
 
 asio::awaitable<Result<Changes>> KeyValueStore::changes(std::uint64_t from) {
-  const http::Answer answer = co_await call(http::Verb::get, changes_target(from), {}, kReadReserve);
+  const http::ClientResponse answer = co_await call(http::Verb::get, changes_target(from), {}, kReadReserve);
   co_return changes_result(answer);
 }
 
 asio::awaitable<Result<ListPage>> KeyValueStore::list(std::string after, int limit) {
-  const http::Answer answer = co_await call(http::Verb::get, list_target(after, limit), {}, kReadReserve);
+  const http::ClientResponse answer = co_await call(http::Verb::get, list_target(after, limit), {}, kReadReserve);
   co_return list_result(answer);
 }
 
 asio::awaitable<Result<std::uint64_t>> KeyValueStore::grant_lease(int ttl_ms) {
-  const http::Answer answer = co_await call_without_waiting("/grants", lease_body(ttl_ms));
+  const http::ClientResponse answer = co_await call_without_waiting("/grants", lease_body(ttl_ms));
   co_return lease_result(answer);
 }
 
 asio::awaitable<LeaseRenewal> KeyValueStore::renew_lease(std::uint64_t store_lease) {
-  const http::Answer answer = co_await call_without_waiting(renewal_target(store_lease), {});
+  const http::ClientResponse answer = co_await call_without_waiting(renewal_target(store_lease), {});
   co_return renewal_result(answer);
 }
 
--- a/src/state/key_value_store.hpp
+++ b/src/state/key_value_store.hpp
@@ -43,7 +43,7 @@
   asio::awaitable<LeaseRenewal> renew_lease(std::uint64_t store_lease);
   /// Another controller's request, sent on as it is; never by our own peer relay. Status 429 if there is no
   /// room for it now, 0 if no answer came.
-  asio::awaitable<http::Answer> forward(http::Verb verb, std::string target, std::string body);
+  asio::awaitable<http::ClientResponse> forward(http::Verb verb, std::string target, std::string body);
 
   /// What a write is for: records leave some of each burst to what users wait for.
   enum class For { users, records };
@@ -55,9 +55,9 @@
   void use_share_of_writes(double share);
 
  private:
-  asio::awaitable<http::Answer> call(http::Verb verb, std::string target, std::string body, double reserve);
-  asio::awaitable<http::Answer> call_without_waiting(std::string target, std::string body);
-  asio::awaitable<http::Answer> call_or_relay(http::Transport& direct, http::Verb verb, std::string target,
+  asio::awaitable<http::ClientResponse> call(http::Verb verb, std::string target, std::string body, double reserve);
+  asio::awaitable<http::ClientResponse> call_without_waiting(std::string target, std::string body);
+  asio::awaitable<http::ClientResponse> call_or_relay(http::Transport& direct, http::Verb verb, std::string target,
                                               std::string body);
   void log_oversized(const Transaction& transaction, const CommitBody& body);
 
@@ -65,7 +65,7 @@
   std::unique_ptr<http::Transport> renewals_;  // own connection: a renewal never waits behind a large answer
   std::unique_ptr<http::Transport> peer_relay_;
   core::TimePoint refused_at_{};  // when the service last didn't execute a request of ours
-  config::StateLimits limits_;
+  config::StoreLimits limits_;
   RateLimiter requests_;
   RateLimiter writes_;
   std::unordered_map<std::string, std::size_t> oversized_;  // by key: the size last logged
--- a/src/state/store_protocol.cpp
+++ b/src/state/store_protocol.cpp
@@ -32,7 +32,7 @@
 
 // Reads the body of a successful answer; `read` throws on what it doesn't understand.
 template <class T, class Read>
-Result<T> result(const http::Answer& answer, const char* request, Read&& read) {
+Result<T> result(const http::ClientResponse& answer, const char* request, Read&& read) {
   if (answer.status != http::status::kOk) return error_of(answer.status);
   const auto body = parse(answer.body);
   if (!body) return StoreError::malformed_answer;
@@ -73,7 +73,7 @@
 }
 
 // 200 and 409 carry the store's revision; 409 also the keys whose condition failed.
-CommitResult answered_commit(const http::Answer& answer) {
+CommitResult answered_commit(const http::ClientResponse& answer) {
   const auto body = parse(answer.body);
   if (!body) return {};
   try {
@@ -104,8 +104,8 @@
   return "malformed_answer";
 }
 
-CommitBody commit_body(const Transaction& transaction, const config::StateLimits& limits) {
-  const auto max_bytes = static_cast<std::size_t>(limits.value_kb * 1024);
+CommitBody commit_body(const Transaction& transaction, const config::StoreLimits& limits) {
+  const auto max_bytes = static_cast<std::size_t>(limits.max_value_kb * 1024);
   json::array compares;
   for (const auto& compare : transaction.compares)
     compares.push_back(json::object{{"k", compare.key}, {"stamp", compare.revision}});
@@ -147,7 +147,7 @@
   return "/grants/" + std::to_string(store_lease) + "/extend";
 }
 
-CommitResult commit_result(const http::Answer& answer) {
+CommitResult commit_result(const http::ClientResponse& answer) {
   CommitResult result;
   switch (answer.status) {
     case http::status::kOk:
@@ -167,7 +167,7 @@
   return result;
 }
 
-Result<Changes> changes_result(const http::Answer& answer) {
+Result<Changes> changes_result(const http::ClientResponse& answer) {
   return result<Changes>(answer, "changes", [](const json::value& body) {
     Changes changes;
     changes.revision = whole(body.at("epoch"));
@@ -177,7 +177,7 @@
   });
 }
 
-Result<ListPage> list_result(const http::Answer& answer) {
+Result<ListPage> list_result(const http::ClientResponse& answer) {
   return result<ListPage>(answer, "list", [](const json::value& body) {
     ListPage page;
     page.revision = whole(body.at("epoch"));
@@ -188,12 +188,12 @@
   });
 }
 
-Result<std::uint64_t> lease_result(const http::Answer& answer) {
+Result<std::uint64_t> lease_result(const http::ClientResponse& answer) {
   return result<std::uint64_t>(answer, "grant_lease",
                                [](const json::value& body) { return whole(body.at("hold")); });
 }
 
-LeaseRenewal renewal_result(const http::Answer& answer) {
+LeaseRenewal renewal_result(const http::ClientResponse& answer) {
   if (answer.status == http::status::kOk) return LeaseRenewal::renewed;
   return answer.status == http::status::kNotFound ? LeaseRenewal::expired : LeaseRenewal::unknown;
 }
--- a/src/state/store_protocol.hpp
+++ b/src/state/store_protocol.hpp
@@ -54,7 +54,7 @@
   std::string oversized_key;  ///< of a value over the limit; empty: there is none
   std::size_t oversized_bytes = 0;
 };
-CommitBody commit_body(const Transaction& transaction, const config::StateLimits& limits);
+CommitBody commit_body(const Transaction& transaction, const config::StoreLimits& limits);
 /// Of a request for a store lease that ends this long after its last renewal.
 std::string lease_body(int ttl_ms);
 std::string changes_target(std::uint64_t from);
@@ -63,11 +63,11 @@
 std::string renewal_target(std::uint64_t store_lease);
 
 /// An answer that does not parse is as good as none: the outcome is unknown.
-CommitResult commit_result(const http::Answer& answer);
-Result<Changes> changes_result(const http::Answer& answer);
-Result<ListPage> list_result(const http::Answer& answer);
+CommitResult commit_result(const http::ClientResponse& answer);
+Result<Changes> changes_result(const http::ClientResponse& answer);
+Result<ListPage> list_result(const http::ClientResponse& answer);
 /// The number of the store lease.
-Result<std::uint64_t> lease_result(const http::Answer& answer);
-LeaseRenewal renewal_result(const http::Answer& answer);
+Result<std::uint64_t> lease_result(const http::ClientResponse& answer);
+LeaseRenewal renewal_result(const http::ClientResponse& answer);
 
 }  // namespace finchrun::state
--- a/tests/app/services_test.cpp
+++ b/tests/app/services_test.cpp
@@ -162,8 +162,8 @@
     for (std::size_t n = 0; n < 3; ++n)
       cluster.after(21 + 5 * static_cast<double>(n), [&cluster, n] { cluster.crash(n, 1); });
     cluster.after(GetParam().at_s, [&cluster] {
-      cluster.store.value_bytes = 1024;
-      cluster.store.transaction_writes = 5;
+      cluster.store.max_value_bytes = 1024;
+      cluster.store.max_transaction_writes = 5;
     });
     GetParam().inject_faults(cluster);
     submit_services(cluster, 0);
--- a/tests/assignments/limits_test.cpp
+++ b/tests/assignments/limits_test.cpp
@@ -17,7 +17,7 @@
 };
 class SmallLimits : public testing::TestWithParam<LimitCase> {
  protected:
-  [[nodiscard]] static config::StateLimits limits() {
+  [[nodiscard]] static config::StoreLimits limits() {
     return {100, 20, GetParam().value_kb, GetParam().writes};
   }
   static constexpr std::uint32_t kTasks = 40;
--- a/tests/assignments/open_shards_test.cpp
+++ b/tests/assignments/open_shards_test.cpp
@@ -58,14 +58,14 @@
   OpenShards shards(leader.state, leader.partition, tombstones, 1);
   ASSERT_TRUE(shards.open("0"));
   EXPECT_FALSE(shards.open("1"));
-  EXPECT_FALSE(shards.with_room(jobs[1], leader.state.settings.state_limits.value_bytes()));
+  EXPECT_FALSE(shards.with_room(jobs[1], leader.state.settings.store_limits.max_value_bytes()));
   EXPECT_TRUE(shards.open("0")) << "it is open already";
 }
 
 TEST_F(OpenShardsTest, ANewShardGetsTheFirstUnusedName) {
   PlannedTombstones tombstones(leader.state, leader.partition);
   OpenShards shards(leader.state, leader.partition, tombstones, 3);
-  ASSERT_TRUE(shards.with_room(jobs[0], leader.state.settings.state_limits.value_bytes()));
+  ASSERT_TRUE(shards.with_room(jobs[0], leader.state.settings.store_limits.max_value_bytes()));
   EXPECT_TRUE(shards.contains("3"));
   PlannedTransaction transaction;
   shards.write_to(transaction);
@@ -100,7 +100,7 @@
 TEST_P(ShardShrinkerTest, SplitsAShardOverTheLimitIfOneTransactionCan) {
   SinglePartition before;
   auto settings = single_partition_settings();
-  settings.state_limits = {100, 20, GetParam().value_kb, static_cast<int>(GetParam().max_writes)};
+  settings.store_limits = {100, 20, GetParam().value_kb, static_cast<int>(GetParam().max_writes)};
   SinglePartition after(settings);
   const auto job = before.job("req-1", 80, false);
   after.job("req-1", 80, false);
--- a/tests/assignments/planned_tombstones_test.cpp
+++ b/tests/assignments/planned_tombstones_test.cpp
@@ -72,7 +72,7 @@
 
 TEST(PlannedTombstones, HaveRoomUpToTheLimitOnValues) {
   auto settings = single_partition_settings();
-  settings.state_limits = {100, 20, 1, 5};
+  settings.store_limits = {100, 20, 1, 5};
   SinglePartition leader(settings);
   const auto job = leader.job("req-1", 200, false);
   PlannedTombstones tombstones(leader.state, leader.partition);
--- a/tests/assignments/upgrade.hpp
+++ b/tests/assignments/upgrade.hpp
@@ -13,11 +13,11 @@
 
 /// Controllers before and after an upgrade that lowers the limits, on one store.
 struct Upgrade {
-  explicit Upgrade(const config::StateLimits& limits) : Upgrade(with(limits)) {}
+  explicit Upgrade(const config::StoreLimits& limits) : Upgrade(with(limits)) {}
   explicit Upgrade(const config::Settings& settings) : after(settings) {}
-  static config::Settings with(const config::StateLimits& limits) {
+  static config::Settings with(const config::StoreLimits& limits) {
     auto settings = single_partition_settings();
-    settings.state_limits = limits;
+    settings.store_limits = limits;
     return settings;
   }
   /// Makes the writer's transaction durable: whoever reads the store sees it, in the order of the keys or the
--- a/tests/autoscaling/scale_in_plan_test.cpp
+++ b/tests/autoscaling/scale_in_plan_test.cpp
@@ -16,8 +16,8 @@
 
 config::Settings settings() {
   auto s = assignments::single_partition_settings();
-  s.report_s = 3;
-  s.lease_s = 30;
+  s.heartbeat_interval_s = 3;
+  s.agent_lease_s = 30;
   s.cloud_list_lag_s = 5;
   return s;
 }
@@ -26,7 +26,7 @@
 struct Scene : SinglePartition {
   Scene() : SinglePartition(settings()) {
     state.synchronized_at = ago(0.1);
-    state.tuning.idle_return_s = 600;
+    state.tuning.scale_in_idle_s = 600;
     state.fleet.machine_types = {{"cpu.4", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}}};
     state.fleet.machine_type_ids = {state.names.types.intern("cpu.4")};
     healthy("m");
--- a/tests/cloud/cloud_test.cpp
+++ b/tests/cloud/cloud_test.cpp
@@ -14,13 +14,13 @@
 using sim::ScriptedNetwork;
 
 struct Scene {
-  explicit Scene(std::deque<http::Answer> answers, double requests_per_s = 1000)
+  explicit Scene(std::deque<http::ClientResponse> answers, double requests_per_s = 1000)
       : cloud(network, settings(requests_per_s)) {
     network.answers = std::move(answers);
   }
   static config::Settings settings(double requests_per_s) {
     config::Settings s;
-    s.cloud_rps = requests_per_s;
+    s.cloud_requests_per_s = requests_per_s;
     return s;
   }
   ScriptedNetwork network;
@@ -32,7 +32,7 @@
 
 TEST(Cloud, ReadsMachineTypes) {
   Scene scene({{200, kTypes}});
-  const auto result = sim::run_to_end([&] { return scene.cloud.machine_types(); });
+  const auto result = sim::run_to_completion([&] { return scene.cloud.machine_types(); });
   const auto* types = std::get_if<std::vector<MachineType>>(&result);
   ASSERT_TRUE(types);
   ASSERT_EQ(types->size(), 1u);
@@ -52,13 +52,13 @@
 
 struct ErrorCase {
   const char* name;
-  http::Answer answer;
+  http::ClientResponse answer;
   Error error;
 };
 class MachineTypesError : public testing::TestWithParam<ErrorCase> {};
 TEST_P(MachineTypesError, IsNamed) {
   Scene scene({GetParam().answer});
-  const auto result = sim::run_to_end([&] { return scene.cloud.machine_types(); });
+  const auto result = sim::run_to_completion([&] { return scene.cloud.machine_types(); });
   ASSERT_TRUE(std::holds_alternative<Error>(result));
   EXPECT_EQ(std::get<Error>(result), GetParam().error) << name_of(std::get<Error>(result));
 }
@@ -83,7 +83,7 @@
 TEST(Cloud, ReadsTheMachineListPageByPage) {
   Scene scene({{200, kFirstPage}, {200, kLastPage}});
   const auto every_s = scene.cloud.list_every_s();
-  const auto result = sim::run_to_end([&] { return scene.cloud.machines(); });
+  const auto result = sim::run_to_completion([&] { return scene.cloud.machines(); });
   const auto* machines = std::get_if<std::vector<ListedMachine>>(&result);
   ASSERT_TRUE(machines);
   ASSERT_EQ(machines->size(), 2u);
@@ -105,13 +105,13 @@
 
 TEST(Cloud, HalfAListIsNone) {
   struct Case {
-    http::Answer second_page;
+    http::ClientResponse second_page;
     Error error;
   };
   for (const auto& c : {Case{{500, ""}, Error::refused}, Case{{0, ""}, Error::no_answer},
                         Case{{200, R"({"perches":[]})"}, Error::malformed}}) {
     Scene scene({{200, kFirstPage}, c.second_page});
-    const auto result = sim::run_to_end([&] { return scene.cloud.machines(); });
+    const auto result = sim::run_to_completion([&] { return scene.cloud.machines(); });
     ASSERT_TRUE(std::holds_alternative<Error>(result));
     EXPECT_EQ(std::get<Error>(result), c.error);
   }
@@ -119,7 +119,7 @@
 
 TEST(Cloud, RequestsMachines) {
   struct Case {
-    http::Answer answer;
+    http::ClientResponse answer;
     std::variant<std::vector<std::string>, Error> result;
   };
   const std::vector<std::string> both{"m-1", "m-2"};
@@ -129,7 +129,7 @@
                         Case{{200, R"({"perches":["m-1",2]})"}, Error::malformed}}) {
     Scene scene({c.answer});
     const auto result =
-        sim::run_to_end([&] { return scene.cloud.scale_out("perch-0-7-1", "gpu.8", "a", true, 3); });
+        sim::run_to_completion([&] { return scene.cloud.scale_out("perch-0-7-1", "gpu.8", "a", true, 3); });
     EXPECT_EQ(scene.network.bodies.at(0),
               R"({"hire":"perch-0-7-1","rack":"gpu.8","hall":"a","loaners":true,"howMany":3})");
     ASSERT_EQ(result.index(), c.result.index()) << c.answer.body;
@@ -144,7 +144,7 @@
 TEST(Cloud, ReleasesMachines) {
   for (const int status : {200, 0, 404, 429, 500, 503}) {
     Scene scene({{status, ""}});
-    const auto result = sim::run_to_end([&] { return scene.cloud.release({"m-1", "m-2"}); });
+    const auto result = sim::run_to_completion([&] { return scene.cloud.release({"m-1", "m-2"}); });
     EXPECT_EQ(std::holds_alternative<Released>(result), status == 200) << status;
     EXPECT_EQ(scene.network.targets.at(0), "/hosts/release");
     EXPECT_EQ(scene.network.bodies.at(0), R"({"perches":["m-1","m-2"]})");
@@ -155,7 +155,7 @@
   Scene scene({{200, ""}, {200, ""}, {200, ""}}, 0.01);
   int released = 0;
   for (int i = 0; i < 3; ++i) {
-    const auto result = sim::run_to_end([&] { return scene.cloud.release({"m-1"}); });
+    const auto result = sim::run_to_completion([&] { return scene.cloud.release({"m-1"}); });
     if (std::holds_alternative<Released>(result))
       ++released;
     else
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -68,26 +68,26 @@
   ASSERT_EQ(settings.members.size(), 1u);
   EXPECT_EQ(settings.members[0].zone, "b");
   EXPECT_DOUBLE_EQ(settings.teams.at(0).gpus_max, 8);
-  EXPECT_DOUBLE_EQ(settings.report_s, 3);
+  EXPECT_DOUBLE_EQ(settings.heartbeat_interval_s, 3);
 }
 
 struct LimitsCase {
   const char* name;
   const char* state;  // TOML text of the table
-  StateLimits limits;
+  StoreLimits limits;
 };
-class EffectiveStateLimits : public testing::TestWithParam<LimitsCase> {};
+class EffectiveStoreLimits : public testing::TestWithParam<LimitsCase> {};
 // The announced limits may apply at any time, so the smaller ones count from the start.
-TEST_P(EffectiveStateLimits, AreTheSmallerOfCurrentAndAnnounced) {
+TEST_P(EffectiveStoreLimits, AreTheSmallerOfCurrentAndAnnounced) {
   TemporaryFile file(kValidSettings + GetParam().state);
-  const auto limits = load_settings(file.path).state_limits;
+  const auto limits = load_settings(file.path).store_limits;
   EXPECT_DOUBLE_EQ(limits.requests_per_s, GetParam().limits.requests_per_s);
   EXPECT_DOUBLE_EQ(limits.writes_per_s, GetParam().limits.writes_per_s);
-  EXPECT_DOUBLE_EQ(limits.value_kb, GetParam().limits.value_kb);
-  EXPECT_EQ(limits.transaction_writes, GetParam().limits.transaction_writes);
+  EXPECT_DOUBLE_EQ(limits.max_value_kb, GetParam().limits.max_value_kb);
+  EXPECT_EQ(limits.max_transaction_writes, GetParam().limits.max_transaction_writes);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Table, EffectiveStateLimits,
+    Table, EffectiveStoreLimits,
     testing::Values(
         LimitsCase{
             "nothing_announced", "[deployment.state]\nrps = 150.0\nwrite_rps = 50.0\n", {150, 50, 8, 16}},
@@ -106,13 +106,13 @@
 struct InvalidAnnouncement {
   const char *next, *field;
 };
-class InvalidStateLimits : public testing::TestWithParam<InvalidAnnouncement> {};
-TEST_P(InvalidStateLimits, AreReportedWithTheFieldOnOneLine) {
+class InvalidStoreLimits : public testing::TestWithParam<InvalidAnnouncement> {};
+TEST_P(InvalidStoreLimits, AreReportedWithTheFieldOnOneLine) {
   TemporaryFile file(kValidSettings + "[deployment.state]\n" + GetParam().next);
   expect_rejected(file, GetParam().field);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Table, InvalidStateLimits,
+    Table, InvalidStoreLimits,
     testing::Values(InvalidAnnouncement{"next = 3\n", "deployment.state.next = 3"},
                     InvalidAnnouncement{"next = [2]\n", "deployment.state.next"},
                     InvalidAnnouncement{"next = { value_kb = \"x\" }\n", "deployment.state.next.value_kb"},
@@ -152,9 +152,9 @@
   for (const auto& test_case :
        {WindowCase{10, 30, 16.9}, WindowCase{15.25, 35.25, 16.8475}, WindowCase{45, 70, 21.55}}) {
     Settings settings;
-    settings.lease_s = test_case.lease_s;
+    settings.agent_lease_s = test_case.lease_s;
     settings.cancel_s = test_case.cancel_s;
-    EXPECT_NEAR(settings.renewal_window_s(), test_case.window_s, 1e-9);
+    EXPECT_NEAR(settings.lease_renewal_window_s(), test_case.window_s, 1e-9);
   }
 }
 
@@ -187,10 +187,10 @@
 TEST(Properties, DefaultsAreValidAndMatchTheDesign) {
   const Tuning tuning;
   EXPECT_NO_THROW(check(tuning));
-  EXPECT_DOUBLE_EQ(tuning.window_s, 30);
-  EXPECT_EQ(tuning.windows, 12);
-  EXPECT_DOUBLE_EQ(tuning.decay, 0.8);
-  EXPECT_DOUBLE_EQ(tuning.round_s, 2);
+  EXPECT_DOUBLE_EQ(tuning.usage_window_s, 30);
+  EXPECT_EQ(tuning.usage_windows, 12);
+  EXPECT_DOUBLE_EQ(tuning.usage_decay, 0.8);
+  EXPECT_DOUBLE_EQ(tuning.scheduling_interval_s, 2);
 }
 
 }  // namespace
--- a/tests/controller/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -15,7 +15,7 @@
 config::Settings settings() {
   auto s = single_partition_settings();
   s.teams = {{"red", 0, 0, 4, 8}};
-  s.lease_s = 10;
+  s.agent_lease_s = 10;
   s.cancel_s = 30;
   return s;
 }
@@ -72,7 +72,7 @@
   for (std::size_t m = 0; m < 2; ++m)
     state.cancellations_confirmed_at[m] = core::TimePoint(core::secs(c.confirmed_s[m]));
   EXPECT_EQ(state.may_renew_leases(core::TimePoint(core::secs(c.now_s))), c.may_renew);
-  state.settings.nodes = 4;  // one more than the settings name: only the store shows what it has confirmed
+  state.settings.controller_count = 4;  // one more than the settings name: only the store shows what it has confirmed
   EXPECT_EQ(state.may_renew_leases(core::TimePoint(core::secs(c.now_s))),
             c.may_renew && c.now_s < c.synchronized_s + 16.9);
 }
@@ -159,7 +159,7 @@
 // With an image of 10 GB and a heartbeat every 3 s: 150 s to run, 20 s to fetch, 12 s to start.
 TEST_P(Deferrable, WhileOnlyADeadlineCountsAndThatIsFar) {
   auto s = settings();
-  s.report_s = 3;
+  s.heartbeat_interval_s = 3;
   s.objectives = GetParam().objectives;
   ControllerState state(s, {});
   jobs::JobSpec spec;
--- a/tests/coordination/peer_table_test.cpp
+++ b/tests/coordination/peer_table_test.cpp
@@ -38,10 +38,10 @@
     }
     return links;
   }
-  http::Answer relay() {
+  http::ClientResponse relay() {
     asio::io_context io{1};
     PeerRelay relay(peers);
-    http::Answer result{-1, "not run"};
+    http::ClientResponse result{-1, "not run"};
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
--- a/tests/gateway/admission_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -184,7 +184,7 @@
 
 TEST(Admission, ARecordOverTheLimitNamesItsLongestField) {
   Deployment deployment;
-  deployment.state.settings.state_limits.value_kb = 0.1;
+  deployment.state.settings.store_limits.max_value_kb = 0.1;
   auto submission = array_of_two();
   submission.image = std::string(100, 'i');
   auto admission = decide_admission(deployment.state, submission, kNow, kWallS);
--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -24,7 +24,7 @@
 struct Leader : SinglePartition {
   Leader() {
     state.synchronized_at = kNow;
-    state.settings.lease_s = 10;
+    state.settings.agent_lease_s = 10;
     state.settings.cancel_s = 30;
     job_id = job("req-1", 2, false);
     assign(job_id, assignments(1, 7));
@@ -281,10 +281,10 @@
         RefusalCase{"no_read_for_long_and_no_peers", [](Leader& l, H&) { l.state.synchronized_at = ago(17); },
                     std::nullopt},
         RefusalCase{"cancellations_of_peers_too_old",
-                    [](Leader& l, H&) { l.state.synchronized_at = ago(17), l.state.settings.nodes = 2; },
+                    [](Leader& l, H&) { l.state.synchronized_at = ago(17), l.state.settings.controller_count = 2; },
                     CancellationsUnknown{}},
         RefusalCase{"cancellations_of_peers_known",
-                    [](Leader& l, H&) { l.state.synchronized_at = ago(16), l.state.settings.nodes = 2; },
+                    [](Leader& l, H&) { l.state.synchronized_at = ago(16), l.state.settings.controller_count = 2; },
                     std::nullopt},
         RefusalCase{"deleted_machine", [](Leader& l, H&) { l.state.fleet.deleted.insert(l.machine->id); },
                     MachineDeleted{}}),
--- a/tests/scheduling/usage_recorder_test.cpp
+++ b/tests/scheduling/usage_recorder_test.cpp
@@ -45,7 +45,7 @@
 
 TEST(UsageRecords, OldestWindowsGiveWayToTheLimitOfValues) {
   auto settings = single_partition_settings();
-  settings.state_limits.value_kb = 55 / 1024.0 / 0.95;  // 48 bytes around [8],[0],[100]
+  settings.store_limits.max_value_kb = 55 / 1024.0 / 0.95;  // 48 bytes around [8],[0],[100]
   auto p = with_usage(settings);
   const auto transactions = plan_usage_records(p.state);
   ASSERT_EQ(transactions.size(), 1u);
--- a/tests/sim/agents.cpp
+++ b/tests/sim/agents.cpp
@@ -32,7 +32,7 @@
       static_cast<std::size_t>(std::count_if(agent.tasks.begin(), agent.tasks.end(), [&](const auto& item) {
         return item.second.is_on_machine() && !jobs.at(item.first.first).cancellation_requested;
       }));
-  agent.expire_lease(settings_.lease_s, now_);
+  agent.expire_lease(settings_.agent_lease_s, now_);
   tasks_killed_by_lease += agent.agent_incarnation != before ? lost : 0;
 }
 
@@ -103,7 +103,7 @@
     const auto it = agents.find(name);
     if (it == agents.end() || it->second.dead || it->second.suspended) return;
     it->second.in_flight = false;
-    it->second.next_heartbeat = now_ + core::secs(settings_.report_s);
+    it->second.next_heartbeat = now_ + core::secs(settings_.heartbeat_interval_s);
     handle_heartbeat_response(it->second, sent, incarnation, response);
   };
   if (blocked) {
@@ -161,7 +161,7 @@
     if (it == agents.end()) return;
     Agent& resumed = it->second;
     resumed.suspended = resumed.in_flight = false;
-    resumed.expire_lease(settings_.lease_s, now_);
+    resumed.expire_lease(settings_.agent_lease_s, now_);
     for (const auto& body : std::exchange(resumed.deferred_commands, {}))
       resumed.handle_commands(body, jobs, now_);
   });
--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -25,17 +25,17 @@
       boots_(processes_.size(), 0) {
   core::Steady::simulate(now_);
   settings_.zones = {"a", "b"};
-  settings_.nodes = controllers;
-  settings_.cloud = {kCloudHost, 1};
-  settings_.state = {kStoreHost, 1};
+  settings_.controller_count = controllers;
+  settings_.cloud_endpoint = {kCloudHost, 1};
+  settings_.store_endpoint = {kStoreHost, 1};
   settings_.teams = {{"red", 0, 0, 8, 12}, {"blue", 0, 0, 8, 16}};
-  settings_.report_s = timing.report_s;
-  settings_.lease_s = timing.lease_s;
+  settings_.heartbeat_interval_s = timing.heartbeat_interval_s;
+  settings_.agent_lease_s = timing.agent_lease_s;
   settings_.cancel_s = timing.cancel_s;
   settings_.gang_peer_s = kGangPeerS;
-  settings_.state_limits.requests_per_s = 1000;
-  settings_.state_limits.writes_per_s = 200;
-  settings_.cloud_rps = 30;
+  settings_.store_limits.requests_per_s = 1000;
+  settings_.store_limits.writes_per_s = 200;
+  settings_.cloud_requests_per_s = 30;
   settings_.cloud_list_lag_s = 3;
   cloud.capacity = machines_per_zone + 2;
   cloud.on_release = [this](const std::string& name) { agents.erase(name); };
--- a/tests/sim/cluster.hpp
+++ b/tests/sim/cluster.hpp
@@ -27,7 +27,7 @@
 
 /// The agents' intervals and deadlines in the settings.
 struct AgentTiming {
-  double report_s = 1, lease_s = 10, cancel_s = 30;
+  double heartbeat_interval_s = 1, agent_lease_s = 10, cancel_s = 30;
 };
 
 /// One simulated deployment, implemented in cluster.cpp, network.cpp, agents.cpp, users.cpp and rules.cpp.
@@ -40,7 +40,7 @@
   Cluster& operator=(const Cluster&) = delete;
 
   // Sets the limits of the key-value store in the settings of controllers that boot from now on.
-  void announce_store_limits(const config::StateLimits& limits) { settings_.state_limits = limits; }
+  void announce_store_limits(const config::StoreLimits& limits) { settings_.store_limits = limits; }
   void run(double seconds);
   void after(double seconds_from_now, std::function<void()> action);
   void crash(std::size_t controller, double restart_after_s);
@@ -112,10 +112,10 @@
   // The network, in network.cpp.
   void send_request(std::size_t controller, http::Request request,
                     std::function<void(std::optional<http::Response>)> done, double timeout_s);
-  Answer deliver(std::size_t controller, const config::Endpoint& to, http::Verb verb,
-                 const std::string& target, const std::string& body);
-  Answer deliver_unrecorded(std::size_t controller, const config::Endpoint& to, http::Verb verb,
-                            const std::string& target, const std::string& body);
+  ClientResponse deliver(std::size_t controller, const config::Endpoint& to, http::Verb verb,
+                         const std::string& target, const std::string& body);
+  ClientResponse deliver_unrecorded(std::size_t controller, const config::Endpoint& to, http::Verb verb,
+                                    const std::string& target, const std::string& body);
   [[nodiscard]] bool can_reach(std::size_t controller, const config::Endpoint& to) const;
   // The rules, in rules.cpp.
   struct FreeCapacity {
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -7,12 +7,12 @@
 
 namespace finchrun::sim {
 
-asio::awaitable<Answer> Cluster::ServiceConnection::call(http::Verb verb, std::string target,
-                                                         std::string body,
-                                                         std::chrono::milliseconds timeout) {
+asio::awaitable<ClientResponse> Cluster::ServiceConnection::call(http::Verb verb, std::string target,
+                                                                 std::string body,
+                                                                 std::chrono::milliseconds timeout) {
   struct Pending {
     core::Timer timer;
-    Answer answer;
+    ClientResponse answer;
   };
   auto pending = std::make_shared<Pending>(Pending{core::Timer(io, timeout), {}});
   const auto& faults = cluster.faults;
@@ -27,7 +27,7 @@
     });
     boost::system::error_code ec;
     co_await pending->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-    co_return Answer{};
+    co_return ClientResponse{};
   }
   const double arrival_delay_s =
       (late ? core::Seconds(timeout).count() + 20 * cluster.delay() : cluster.delay()) +
@@ -116,17 +116,18 @@
                  });
 }
 
-Answer Cluster::deliver(std::size_t controller, const config::Endpoint& to, http::Verb verb,
-                        const std::string& target, const std::string& body) {
+ClientResponse Cluster::deliver(std::size_t controller, const config::Endpoint& to, http::Verb verb,
+                                const std::string& target, const std::string& body) {
   auto answer = deliver_unrecorded(controller, to, verb, target, body);
   traffic_.add(now_, controller, target, body, answer.body, answer.status);
   return answer;
 }
 
-Answer Cluster::deliver_unrecorded(std::size_t controller, const config::Endpoint& to, http::Verb verb,
-                                   const std::string& target, const std::string& body) {
+ClientResponse Cluster::deliver_unrecorded(std::size_t controller, const config::Endpoint& to,
+                                           http::Verb verb, const std::string& target,
+                                           const std::string& body) {
   if (to.host == kStoreHost)
-    return refused_by_store.contains(controller) ? Answer{http::status::kServiceUnavailable, "{}"}
+    return refused_by_store.contains(controller) ? ClientResponse{http::status::kServiceUnavailable, "{}"}
                                                  : store.handle(verb, target, body, now_);
   if (to.host == kCloudHost) return cloud.handle(verb, target, body, now_);
   for (auto& [_, agent] : agents) {
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -14,8 +14,8 @@
 struct Cluster::ServiceConnection : http::Transport {
   ServiceConnection(Cluster& simulated, asio::io_context& loop, std::size_t from, config::Endpoint endpoint)
       : cluster(simulated), io(loop), controller(from), to(std::move(endpoint)) {}
-  asio::awaitable<Answer> call(http::Verb verb, std::string target, std::string body,
-                               std::chrono::milliseconds timeout) override;
+  asio::awaitable<ClientResponse> call(http::Verb verb, std::string target, std::string body,
+                                       std::chrono::milliseconds timeout) override;
   Cluster& cluster;
   asio::io_context& io;
   std::size_t controller;
--- a/tests/sim/scripted_network.hpp
+++ b/tests/sim/scripted_network.hpp
@@ -18,11 +18,11 @@
 struct ScriptedNetwork : http::Network {
   struct ScriptedTransport : http::Transport {
     explicit ScriptedTransport(ScriptedNetwork& network) : script(network) {}
-    boost::asio::awaitable<http::Answer> call(http::Verb, std::string target, std::string body,
-                                              std::chrono::milliseconds) override {
+    boost::asio::awaitable<http::ClientResponse> call(http::Verb, std::string target, std::string body,
+                                                      std::chrono::milliseconds) override {
       script.targets.push_back(std::move(target));
       script.bodies.push_back(std::move(body));
-      if (script.answers.empty()) co_return http::Answer{};
+      if (script.answers.empty()) co_return http::ClientResponse{};
       auto answer = script.answers.front();
       script.answers.pop_front();
       co_return answer;
@@ -32,13 +32,13 @@
   std::unique_ptr<http::Transport> connect(const config::Endpoint&, std::size_t) override {
     return std::make_unique<ScriptedTransport>(*this);
   }
-  std::deque<http::Answer> answers;
+  std::deque<http::ClientResponse> answers;
   std::vector<std::string> targets, bodies;
 };
 
 /// Runs the coroutine that `start` returns to completion and returns its result.
 template <class F>
-auto run_to_end(F&& start) {
+auto run_to_completion(F&& start) {
   boost::asio::io_context io;
   std::optional<typename decltype(start())::value_type> result;
   boost::asio::co_spawn(
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxChangesKept = 400;
 
 std::uint64_t to_integer(const json::value& value) { return value.to_number<std::uint64_t>(); }
-Answer json_response(int status, const json::object& body) { return {status, json::serialize(body)}; }
+ClientResponse json_response(int status, const json::object& body) { return {status, json::serialize(body)}; }
 
 std::string query(const std::string& target, const std::string& key) {
   for (const char* lead : {"?", "&"}) {
@@ -61,12 +61,12 @@
   return result;
 }
 
-Answer StoreService::too_large(const char* reason) {
+ClientResponse StoreService::too_large(const char* reason) {
   ++rejected_for_size;
   return json_response(http::status::kBadRequest, {{"error", reason}});
 }
 
-Answer StoreService::commit(const json::object& transaction) {
+ClientResponse StoreService::commit(const json::object& transaction) {
   json::array failed;
   for (const auto& condition : transaction.at("when").as_array()) {
     const std::string key(condition.at("k").as_string());
@@ -77,15 +77,15 @@
   if (!failed.empty())
     return json_response(http::status::kConflict, {{"failed", failed}, {"epoch", revision_}});
   const auto& writes = transaction.at("then").as_array();
-  if (writes.size() > transaction_writes) return too_large("too many changes");
-  if (transaction.at("when").as_array().size() > 4 * transaction_writes)
+  if (writes.size() > max_transaction_writes) return too_large("too many changes");
+  if (transaction.at("when").as_array().size() > 4 * max_transaction_writes)
     return too_large("too many conditions");
   for (const auto& write : writes)
     if (const auto* store_lease = write.as_object().if_contains("hold");
         store_lease && !store_leases_.contains(to_integer(*store_lease)))
       return json_response(http::status::kBadRequest, {{"error", "no such lease"}});
   for (const auto& write : writes)
-    if (write.as_object().contains("set") && json::serialize(write.at("data")).size() > value_bytes)
+    if (write.as_object().contains("set") && json::serialize(write.at("data")).size() > max_value_bytes)
       return too_large("value too large");
   if (!writes.empty()) ++revision_;
   for (const auto& write : writes) {
@@ -103,7 +103,7 @@
   return json_response(http::status::kOk, {{"epoch", revision_}});
 }
 
-Answer StoreService::changes_since(std::uint64_t revision) const {
+ClientResponse StoreService::changes_since(std::uint64_t revision) const {
   if (!changes_.empty() && changes_.size() >= kMaxChangesKept && revision + 1 < changes_.front().revision)
     return {http::status::kGone, "{}"};
   json::array events;
@@ -119,7 +119,7 @@
   return json_response(http::status::kOk, {{"epoch", revision_}, {"events", events}});
 }
 
-Answer StoreService::page(const std::string& after, std::size_t limit) const {
+ClientResponse StoreService::page(const std::string& after, std::size_t limit) const {
   json::array items;
   bool more = false;
   for (auto it = items_.upper_bound(after); it != items_.end(); ++it) {
@@ -133,20 +133,20 @@
   return json_response(http::status::kOk, {{"items", items}, {"hasNext", more}, {"epoch", revision_}});
 }
 
-Answer StoreService::grant_lease(double ttl_s, TimePoint now) {
+ClientResponse StoreService::grant_lease(double ttl_s, TimePoint now) {
   store_leases_[next_store_lease_] = {now + core::secs(ttl_s), ttl_s};
   return json_response(http::status::kOk, {{"hold", next_store_lease_++}});
 }
 
-Answer StoreService::renew_lease(std::uint64_t store_lease, TimePoint now) {
+ClientResponse StoreService::renew_lease(std::uint64_t store_lease, TimePoint now) {
   const auto it = store_leases_.find(store_lease);
   if (it == store_leases_.end()) return {http::status::kNotFound, "{}"};
   it->second.ends = now + core::secs(it->second.ttl_s);
   return {http::status::kOk, "{}"};
 }
 
-Answer StoreService::handle(http::Verb verb, const std::string& target, const std::string& body,
-                            TimePoint now) {
+ClientResponse StoreService::handle(http::Verb verb, const std::string& target, const std::string& body,
+                                    TimePoint now) {
   constexpr std::string_view kGrants = "/grants";
   constexpr double kMsPerS = 1000;
   if (outage) return {http::status::kServiceUnavailable, "{}"};
@@ -214,8 +214,8 @@
   }
 }
 
-Answer Agent::handle_commands(const std::string& body, std::map<std::string, JobHistory>& jobs,
-                              TimePoint now) {
+ClientResponse Agent::handle_commands(const std::string& body, std::map<std::string, JobHistory>& jobs,
+                                      TimePoint now) {
   const auto request = json::parse(body).as_object();
   const auto offered = to_integer(request.at("baton"));
   if (offered < fencing_token) return json_response(http::status::kConflict, heartbeat());
@@ -259,8 +259,8 @@
   return {{"perches", result}, {"hasNext", false}};
 }
 
-Answer CloudService::handle(http::Verb verb, const std::string& target, const std::string& body,
-                            TimePoint now) {
+ClientResponse CloudService::handle(http::Verb verb, const std::string& target, const std::string& body,
+                                    TimePoint now) {
   if (outage) return {http::status::kServiceUnavailable, R"({"error":"trouble"})"};
   if (target == "/flavors")
     return {http::status::kOk,
--- a/tests/sim/services.hpp
+++ b/tests/sim/services.hpp
@@ -21,15 +21,15 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 using core::TimePoint;
-using http::Answer;
+using http::ClientResponse;
 
 /// A key-value store with revisions, store leases, compare-and-swap transactions and a change feed.
 class StoreService {
  public:
-  Answer handle(http::Verb verb, const std::string& target, const std::string& body, TimePoint now);
+  ClientResponse handle(http::Verb verb, const std::string& target, const std::string& body, TimePoint now);
   bool outage = false;
   // Limits of new writes; values stored before stay readable.
-  std::size_t value_bytes = 8192, transaction_writes = 16;
+  std::size_t max_value_bytes = 8192, max_transaction_writes = 16;
   std::size_t rejected_for_size = 0;  // requests rejected with 400 for exceeding a limit
   // Ends an outage and renews every store lease for its full term.
   void recover(TimePoint now);
@@ -52,12 +52,12 @@
     std::optional<json::value> value;
   };
   void expire_leases(TimePoint now);
-  Answer commit(const json::object& transaction);
-  [[nodiscard]] Answer changes_since(std::uint64_t revision) const;
-  [[nodiscard]] Answer page(const std::string& after, std::size_t limit) const;
-  Answer grant_lease(double ttl_s, TimePoint now);
-  Answer renew_lease(std::uint64_t store_lease, TimePoint now);
-  Answer too_large(const char* reason);
+  ClientResponse commit(const json::object& transaction);
+  [[nodiscard]] ClientResponse changes_since(std::uint64_t revision) const;
+  [[nodiscard]] ClientResponse page(const std::string& after, std::size_t limit) const;
+  ClientResponse grant_lease(double ttl_s, TimePoint now);
+  ClientResponse renew_lease(std::uint64_t store_lease, TimePoint now);
+  ClientResponse too_large(const char* reason);
   std::uint64_t revision_ = 0, next_store_lease_ = 1;
   std::map<std::string, Item> items_;
   std::map<std::uint64_t, StoreLease> store_leases_;
@@ -116,14 +116,15 @@
   json::object heartbeat();
   // Executes commands; `jobs` are all submitted jobs.
   void execute(const json::array& commands, std::map<std::string, JobHistory>& jobs, TimePoint now);
-  Answer handle_commands(const std::string& body, std::map<std::string, JobHistory>& jobs, TimePoint now);
+  ClientResponse handle_commands(const std::string& body, std::map<std::string, JobHistory>& jobs,
+                                 TimePoint now);
   void expire_lease(double lease_s, TimePoint now);
 };
 
 /// A cloud with one machine type and a list of machines that lags behind.
 class CloudService {
  public:
-  Answer handle(http::Verb verb, const std::string& target, const std::string& body, TimePoint now);
+  ClientResponse handle(http::Verb verb, const std::string& target, const std::string& body, TimePoint now);
   struct Host {
     std::string name, endpoint, type, zone;
     bool spot = false;
--- a/tests/state/key_value_store_test.cpp
+++ b/tests/state/key_value_store_test.cpp
@@ -13,9 +13,9 @@
 
 config::Settings settings(double write_rps, int txn_ops) {
   config::Settings s;
-  s.nodes = 3;
-  s.state_limits.writes_per_s = write_rps;
-  s.state_limits.transaction_writes = txn_ops;
+  s.controller_count = 3;
+  s.store_limits.writes_per_s = write_rps;
+  s.store_limits.max_transaction_writes = txn_ops;
   return s;
 }
 
@@ -29,7 +29,7 @@
   ScriptedNetwork net;
   KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({GetParam().status, GetParam().body});
-  const auto result = sim::run_to_end([&] { return store.commit(Transaction{}); });
+  const auto result = sim::run_to_completion([&] { return store.commit(Transaction{}); });
   EXPECT_EQ(result.outcome, GetParam().outcome);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -54,13 +54,13 @@
                         Case{1, 2046, CommitStatus::done}, Case{1, 2047, CommitStatus::too_large}}) {
     ScriptedNetwork net;
     auto s = settings(20, 5);
-    s.state_limits.value_kb = 2;
+    s.store_limits.max_value_kb = 2;
     KeyValueStore store(net, s);
     net.answers.push_back({200, R"({"epoch":432})"});
     Transaction txn;
     for (std::size_t i = 0; i < c.changes; ++i)
       txn.writes.push_back({"a/" + std::to_string(i), json::value(std::string(c.bytes, 'x'))});
-    EXPECT_EQ(sim::run_to_end([&] { return store.commit(std::move(txn)); }).outcome, c.outcome)
+    EXPECT_EQ(sim::run_to_completion([&] { return store.commit(std::move(txn)); }).outcome, c.outcome)
         << c.changes << " " << c.bytes;
     EXPECT_EQ(net.targets.size(), c.outcome == CommitStatus::done ? 1u : 0u);
   }
@@ -74,7 +74,7 @@
   txn.compares.push_back({"a/b", 0});
   txn.writes.push_back({"a/b", json::object{{"x", 1}}, 7});
   txn.writes.push_back({"c/\"d", std::nullopt});
-  sim::run_to_end([&] { return store.commit(std::move(txn)); });
+  sim::run_to_completion([&] { return store.commit(std::move(txn)); });
   ASSERT_EQ(net.bodies.size(), 1u);
   EXPECT_EQ(json::parse(net.bodies[0]), json::parse(R"({"when":[{"k":"a/b","stamp":0}],
       "then":[{"set":"a/b","data":{"x":1},"hold":7},{"delete":"c/\"d"}]})"));
@@ -91,7 +91,7 @@
   ScriptedNetwork net;
   KeyValueStore store(net, settings(20, 16));
   net.answers.push_back({GetParam().status, GetParam().body});
-  const auto result = sim::run_to_end([&] { return store.changes(7); });
+  const auto result = sim::run_to_completion([&] { return store.changes(7); });
   ASSERT_EQ(std::holds_alternative<StoreError>(result), GetParam().error.has_value());
   if (GetParam().error) {
     EXPECT_EQ(std::get<StoreError>(result), *GetParam().error);
@@ -120,14 +120,14 @@
   net.answers.push_back(
       {200, R"({"epoch":9,"hasNext":true,"items":[{"k":"jobs/a b","data":{"x":1},"stamp":8}]})"});
   net.answers.push_back({200, R"({"epoch":9,"items":[]})"});
-  const auto first = sim::run_to_end([&] { return store.list("", 500); });
+  const auto first = sim::run_to_completion([&] { return store.list("", 500); });
   ASSERT_TRUE(std::holds_alternative<ListPage>(first));
   const auto& page = std::get<ListPage>(first);
   EXPECT_TRUE(page.more);
   EXPECT_EQ(page.revision, 9u);
   ASSERT_EQ(page.items.size(), 1u);
   EXPECT_EQ(page.items[0].revision, 8u);
-  const auto second = sim::run_to_end([&] { return store.list("jobs/a b", 500); });
+  const auto second = sim::run_to_completion([&] { return store.list("jobs/a b", 500); });
   EXPECT_EQ(std::get<StoreError>(second), StoreError::malformed_answer)
       << "does not say whether there is more";
   EXPECT_EQ(net.targets,
@@ -136,7 +136,7 @@
 
 TEST(KeyValueStore, LeaseIsGrantedOnlyByAnAnswerThatNamesIt) {
   struct Case {
-    http::Answer answer;
+    http::ClientResponse answer;
     Result<std::uint64_t> result;
   };
   for (const auto& c :
@@ -146,7 +146,7 @@
     ScriptedNetwork net;
     KeyValueStore store(net, settings(20, 16));
     net.answers.push_back(c.answer);
-    EXPECT_EQ(sim::run_to_end([&] { return store.grant_lease(4000); }), c.result)
+    EXPECT_EQ(sim::run_to_completion([&] { return store.grant_lease(4000); }), c.result)
         << c.answer.status << c.answer.body;
     EXPECT_EQ(net.targets.at(0), "/grants");
     EXPECT_EQ(net.bodies.at(0), R"({"ttlMs":4000})");
@@ -162,7 +162,7 @@
     ScriptedNetwork net;
     KeyValueStore store(net, settings(20, 16));
     net.answers.push_back({status, ""});
-    EXPECT_EQ(sim::run_to_end([&] { return store.renew_lease(71); }), renewal) << status;
+    EXPECT_EQ(sim::run_to_completion([&] { return store.renew_lease(71); }), renewal) << status;
     EXPECT_EQ(net.targets.at(0), "/grants/71/extend");
   }
 }
