--- a/tests/sim/cluster.hpp
+++ b/tests/sim/cluster.hpp
@@ -74,7 +74,7 @@
   std::set<std::pair<std::size_t, std::string>> blocked_links;
   std::set<std::size_t> refused_by_store;       // the key-value store answers their requests with 503
   std::set<std::size_t> suspended_controllers;  // their clocks go on
-  // From this time on users must get responses about every accepted job that is not cancelled.
+  // The end of the faults, from which the checks for starvation and forgotten jobs count their time.
   TimePoint faults_over_at;
   std::size_t task_starts = 0;
   std::size_t tasks_killed_by_lease = 0;      // tasks of jobs whose cancellation was not requested
