--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -48,8 +48,8 @@
   if (std::getenv("FINCHRUN_TRAFFIC_DIGEST"))
     std::printf("traffic digest=%016llx messages=%llu\n", static_cast<unsigned long long>(traffic_.value()),
                 static_cast<unsigned long long>(traffic_.messages()));
-  for (auto& n : processes_)
-    if (n) killed_processes().push_back(std::shared_ptr<ControllerProcess>(std::move(n)));
+  for (auto& process : processes_)
+    if (process) killed_processes().push_back(std::shared_ptr<ControllerProcess>(std::move(process)));
   core::Steady::simulate(std::nullopt);
 }
 
@@ -93,9 +93,9 @@
     action();
   }
   for (std::size_t i = 0; i < processes_.size(); ++i) {
-    const auto& n = processes_[i];
-    if (!n || suspended_controllers.contains(i)) continue;
-    for (int quiet = 0; quiet < 2;) quiet = n->io.poll() > 0 ? 0 : quiet + 1;
+    const auto& process = processes_[i];
+    if (!process || suspended_controllers.contains(i)) continue;
+    for (int idle_polls = 0; idle_polls < 2;) idle_polls = process->io.poll() > 0 ? 0 : idle_polls + 1;
   }
   for (const auto& [name, host] : cloud.hosts) {
     if (agents.contains(name) || host.ready_at > now_) continue;
@@ -113,13 +113,13 @@
 }
 
 std::size_t Cluster::busiest_leader() const {
-  std::map<std::size_t, int> led;
+  std::map<std::size_t, int> partitions_led;
   for (const auto& [key, value] : store.items_with_prefix("parts/"))
-    ++led[static_cast<std::size_t>(value.at("owner").as_string().back() - '0')];
-  std::size_t most = 0;
-  for (const auto& [controller, n] : led)
-    if (n > led[most]) most = controller;
-  return most;
+    ++partitions_led[static_cast<std::size_t>(value.at("owner").as_string().back() - '0')];
+  std::size_t busiest = 0;
+  for (const auto& [controller, count] : partitions_led)
+    if (count > partitions_led[busiest]) busiest = controller;
+  return busiest;
 }
 
 }  // namespace finchrun::sim
