--- a/src/assignments/assignment_writer.cpp
+++ b/src/assignments/assignment_writer.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kSpareAssignments = 2;
 
 // Reserves one write for the tombstone list.
-std::size_t max_open_shards(const config::StateLimits& limits, std::size_t max_writes) {
+std::size_t max_open_shards(const config::StoreLimits& limits, std::size_t max_writes) {
   return std::clamp<std::size_t>(max_writes - 1, 1, limits.max_full_values());
 }
 
@@ -33,13 +33,13 @@
     : state_(state),
       partition_(partition),
       max_writes_(max_writes),
-      max_bytes_(state.settings.state_limits.value_bytes()),
+      max_bytes_(state.settings.store_limits.max_value_bytes()),
       tombstones_(state, partition),
-      shards_(state, partition, tombstones_, max_open_shards(state.settings.state_limits, max_writes)) {}
+      shards_(state, partition, tombstones_, max_open_shards(state.settings.store_limits, max_writes)) {}
 
-std::size_t AssignmentWriter::max_assignments(const config::StateLimits& limits) {
+std::size_t AssignmentWriter::max_assignments(const config::StoreLimits& limits) {
   const auto per_shard =
-      large_job_bytes(limits.value_bytes()) / jobs::kMaxAssignmentBytes - kSpareAssignments;
+      large_job_bytes(limits.max_value_bytes()) / jobs::kMaxAssignmentBytes - kSpareAssignments;
   return max_open_shards(limits, limits.max_writes()) * per_shard;
 }
 
--- a/src/assignments/assignment_writer.hpp
+++ b/src/assignments/assignment_writer.hpp
@@ -21,7 +21,7 @@
 class AssignmentWriter {
  public:
   AssignmentWriter(const ControllerState& state, core::PartitionId partition)
-      : AssignmentWriter(state, partition, state.settings.state_limits.max_writes()) {}
+      : AssignmentWriter(state, partition, state.settings.store_limits.max_writes()) {}
   /// `max_writes`: the number of writes in the transaction that the writer may use.
   AssignmentWriter(const ControllerState& state, core::PartitionId partition, std::size_t max_writes);
   // Not copyable: the members refer to each other.
@@ -32,7 +32,7 @@
   /// many shards.
   bool add(core::JobId job, const std::vector<jobs::TaskAssignment>& assignments);
   /// The number of assignments of one job that always fit into a transaction of their own.
-  static std::size_t max_assignments(const config::StateLimits& limits);
+  static std::size_t max_assignments(const config::StoreLimits& limits);
   /// Plans one step of ShardShrinker. The writer must do nothing else.
   bool shrink();
   /// The shard is within the value limit.
--- a/src/assignments/exit_plan.cpp
+++ b/src/assignments/exit_plan.cpp
@@ -76,7 +76,7 @@
 
 PlannedTransaction plan_exits(const ControllerState& state, core::PartitionId partition) {
   PlannedTransaction transaction;
-  const auto& limits = state.settings.state_limits;
+  const auto& limits = state.settings.store_limits;
   AssignmentWriter writer(state, partition, limits.max_writes() - limits.max_writes() / kJobWritesDivisor);
   const auto jobs = record_exits(state, partition, writer);
   if (writer.written_key_count() > 0) writer.write_to(transaction);
--- a/src/assignments/placement_plan.cpp
+++ b/src/assignments/placement_plan.cpp
@@ -69,7 +69,7 @@
   // not fit into this transaction has freed its capacity all the same.
   for (const auto& exit : state.fleet.observed_exits)
     if (exit.partition == partition) writer.record_exit(exit);
-  const auto max_compares = state.settings.state_limits.max_compares();
+  const auto max_compares = state.settings.store_limits.max_compares();
   for (; batch.next < placements.size() && placements[batch.next].partition == partition; ++batch.next) {
     const auto& placement = placements[batch.next];
     const auto* job = state.cache.job(placement.job);
--- a/src/assignments/shard_shrinker.cpp
+++ b/src/assignments/shard_shrinker.cpp
@@ -18,7 +18,7 @@
   // the keys. It would count done tasks twice if they had moved to another shard meanwhile.
   const bool done_tasks_may_move = state_.all_controllers_support(state::kTombstonesInAnyOrder);
   SplitConstraints constraints;
-  constraints.max_bytes = state_.settings.state_limits.value_bytes();
+  constraints.max_bytes = state_.settings.store_limits.max_value_bytes();
   if (!done_tasks_may_move)
     for (const auto& [job, _] : jobs) constraints.jobs_with_pinned_done.insert(job);
   // Preferred: the tombstones of the shard leave the list, which takes one more write.
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -29,7 +29,7 @@
   return object.at(key).to_number<double>();
 }
 
-std::optional<Error> error_of(const http::Answer& answer) {
+std::optional<Error> error_of(const http::ClientResponse& answer) {
   switch (answer.status) {
     case 200:
       return std::nullopt;
@@ -48,7 +48,7 @@
 /// Returns the result of `read` for the answer's JSON object, or the error. `read` throws on a malformed
 /// object.
 template <class Read>
-auto parse(const http::Answer& answer, const char* request, Read&& read)
+auto parse(const http::ClientResponse& answer, const char* request, Read&& read)
     -> Result<decltype(read(std::declval<const json::object&>()))> {
   if (const auto error = error_of(answer)) {
     spdlog::debug("cloud request failed request={} reason={} status={}", request, name_of(*error),
@@ -142,12 +142,13 @@
 }
 
 CloudClient::CloudClient(http::Network& network, const config::Settings& settings)
-    : client_(network.connect(settings.cloud, 2)),
-      requests_per_s_(settings.cloud_rps / settings.nodes),
+    : client_(network.connect(settings.cloud_endpoint, 2)),
+      requests_per_s_(settings.cloud_requests_per_s / settings.controller_count),
       rate_limiter_(requests_per_s_, std::max(2.0, 2 * requests_per_s_), core::Steady::now()) {}
 
-asio::awaitable<http::Answer> CloudClient::call(http::Verb verb, std::string target, std::string body) {
-  if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::Answer{429, {}};
+asio::awaitable<http::ClientResponse> CloudClient::call(http::Verb verb, std::string target,
+                                                        std::string body) {
+  if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::ClientResponse{429, {}};
   co_return co_await client_->call(verb, std::move(target), std::move(body), kRequestTimeout);
 }
 
@@ -160,7 +161,7 @@
 }
 
 asio::awaitable<Result<std::vector<MachineType>>> CloudClient::machine_types() {
-  const http::Answer answer = co_await call(http::Verb::get, "/flavors", {});
+  const http::ClientResponse answer = co_await call(http::Verb::get, "/flavors", {});
   co_return parse(answer, "machine_types", read_machine_types);
 }
 
@@ -172,7 +173,7 @@
     co_await wait_for_rate_limit();
     std::string target = "/hosts?limit=500";
     if (!machines.empty()) target += "&from=" + machines.back().name;
-    const http::Answer answer =
+    const http::ClientResponse answer =
         co_await client_->call(http::Verb::get, std::move(target), {}, kRequestTimeout);
     auto result = parse(answer, "machines", read_machine_page);
     if (const auto* error = std::get_if<Error>(&result)) co_return *error;
@@ -185,13 +186,13 @@
 
 asio::awaitable<Result<Rented>> CloudClient::scale_out(std::string request_id, std::string type,
                                                        std::string zone, bool spot, int count) {
-  const http::Answer answer =
+  const http::ClientResponse answer =
       co_await call(http::Verb::post, "/hosts", scale_out_body(request_id, type, zone, spot, count));
   co_return parse(answer, "scale_out", read_rented);
 }
 
 asio::awaitable<Result<Released>> CloudClient::release(std::vector<std::string> names) {
-  const http::Answer answer = co_await call(http::Verb::post, "/hosts/release", release_body(names));
+  const http::ClientResponse answer = co_await call(http::Verb::post, "/hosts/release", release_body(names));
   if (const auto error = error_of(answer)) {
     spdlog::debug("cloud request failed request=release reason={} status={}", name_of(*error), answer.status);
     co_return *error;
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -74,8 +74,8 @@
       leading_since(partitions.size()),
       fence_due(partitions.size(), 0),
       fence_move_revision(partitions.size(), 0),
-      usage(partitions.size(),
-            ledger::UsageWindows(settings.teams.size(), tuning.window_s, tuning.windows, tuning.decay)),
+      usage(partitions.size(), ledger::UsageWindows(settings.teams.size(), tuning.usage_window_s,
+                                                    tuning.usage_windows, tuning.usage_decay)),
       usage_fencing_tokens(partitions.size(), 0) {
   for (const auto& team : settings.teams) fair_share_weights.push_back(fair_share_weight(team));
 }
@@ -107,14 +107,14 @@
 core::TimePoint ControllerState::cancellations_known_at(core::TimePoint now) const {
   // A controller that the settings don't name may confirm cancellations without reporting them here.
   const auto named_controllers = static_cast<int>(cancellations_confirmed_at.size()) + 1;
-  if (named_controllers < settings.nodes) return synchronized_at;
+  if (named_controllers < settings.controller_count) return synchronized_at;
   core::TimePoint confirmed_by_all = now;
   for (const auto at : cancellations_confirmed_at) confirmed_by_all = std::min(confirmed_by_all, at);
   return std::max(synchronized_at, confirmed_by_all);
 }
 
 bool ControllerState::can_renew_leases(core::TimePoint now) const {
-  return core::since(cancellations_known_at(now), now) < settings.renewal_window_s();
+  return core::since(cancellations_known_at(now), now) < settings.lease_renewal_window_s();
 }
 
 double ControllerState::seconds_since_heartbeat(const agent::Machine& machine, core::TimePoint now) const {
@@ -129,7 +129,8 @@
     return false;
   // The agents answer a new leader's probes before they send it their first heartbeats.
   const auto last_seen = std::max(machine.last_heartbeat, leading_since.at(machine.partition.index));
-  return core::since(last_seen, now) < kMaxMissedHeartbeats * settings.report_s + kHeartbeatDelayS;
+  return core::since(last_seen, now) <
+         kMaxMissedHeartbeats * settings.heartbeat_interval_s + kHeartbeatDelayS;
 }
 
 core::Resources ControllerState::allocated_on(core::MachineId id) const {
@@ -145,7 +146,7 @@
                                                         bool is_direct_answer) {
   const bool starts_allowed = core::since(synchronized_at, now) < kMaxStateAgeToStartS;
   return agent::handle_heartbeat({names, cache, fleet, job_failures, fencing_token(machine.partition), now,
-                                  settings.lease_s, starts_allowed, is_direct_answer},
+                                  settings.agent_lease_s, starts_allowed, is_direct_answer},
                                  machine, heartbeat);
 }
 
@@ -189,7 +190,7 @@
   if (!has_only_deadline_objectives(settings.objectives, names.job_classes.name(spec.job_class)))
     return false;
   const double required_s = spec.expected_run_s * kRunTimeMargin + spec.image_gb * kImageFetchSPerGb +
-                            kHeartbeatsToStart * settings.report_s;
+                            kHeartbeatsToStart * settings.heartbeat_interval_s;
   return spec.submitted_s + *spec.deadline_s - now_s > required_s;
 }
 
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -96,7 +96,7 @@
   if (spreads && spec.single_zone) return InfeasibleReason::single_zone_with_spread;
   if (spreads && zones.size() < 2) return InfeasibleReason::spread_needs_second_zone;
   if (spec.is_gang() &&
-      spec.tasks > assignments::AssignmentWriter::max_assignments(state.settings.state_limits))
+      spec.tasks > assignments::AssignmentWriter::max_assignments(state.settings.store_limits))
     return InfeasibleReason::gang_too_large;
   return std::nullopt;
 }
@@ -114,7 +114,7 @@
     state.cluster_load.waiting_demand.at(range.partition.index) +=
         record.spec.need * static_cast<double>(range.to - range.from);
   auto value = jobs::to_json(record, state.names);
-  if (boost::json::serialize(value).size() > state.settings.state_limits.value_bytes())
+  if (boost::json::serialize(value).size() > state.settings.store_limits.max_value_bytes())
     return Infeasible{record_too_long_reason(submission)};
   Admitted admitted;
   admitted.transaction.compares.push_back({state::keys::job(submission.id), 0});
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -86,8 +86,8 @@
     const auto partition = partition_of(state, *heartbeat);
     if (!partition) return std::nullopt;
     auto& machine = state.fleet.mark_seen(state.names, heartbeat->machine, now);
-    const auto forwarding =
-        decide_forwarding(machine, *heartbeat, state.fencing_token(*partition), state.settings.report_s, now);
+    const auto forwarding = decide_forwarding(machine, *heartbeat, state.fencing_token(*partition),
+                                              state.settings.heartbeat_interval_s, now);
     machine.relayed_without_redirect = forwarding == Forwarding::relay_without_redirect;
     if (!machine.relayed_without_redirect) machine.redirected_at = now;
     const auto& leader = state.cache.leadership(*partition).leader;
--- a/src/gateway/direct_commands.cpp
+++ b/src/gateway/direct_commands.cpp
@@ -69,7 +69,7 @@
   return "";
 }
 
-CommandAnswer interpret_answer(const http::Answer& answer) {
+CommandAnswer interpret_answer(const http::ClientResponse& answer) {
   CommandAnswer result;
   auto parsed = wire::parse_heartbeat(answer.body);
   auto* heartbeat = std::get_if<wire::Heartbeat>(&parsed);
@@ -99,7 +99,7 @@
   std::vector<std::tuple<bool, core::TimePoint, core::MachineId>> due;
   for (const auto& [id, machine] : state.fleet.machines()) {
     if (!can_be_probed(state, machine)) continue;
-    const bool silent = state.seconds_since_heartbeat(machine, now) > state.settings.lease_s &&
+    const bool silent = state.seconds_since_heartbeat(machine, now) > state.settings.agent_lease_s &&
                         !state.cache.on_machine(id).empty();
     const bool obeys =
         machine.has_heartbeat && machine.fencing_token >= state.fencing_token(machine.partition);
--- a/src/gateway/direct_commands.hpp
+++ b/src/gateway/direct_commands.hpp
@@ -32,7 +32,7 @@
   }
 };
 
-CommandAnswer interpret_answer(const http::Answer& answer);
+CommandAnswer interpret_answer(const http::ClientResponse& answer);
 
 /// Returns up to 16 machines whose agents should be probed now: first those that do not know this
 /// controller's fencing token, then those with the oldest probe. Rule `ran_twice` requires that agents know
--- a/src/scheduling/partition_writer.cpp
+++ b/src/scheduling/partition_writer.cpp
@@ -36,7 +36,7 @@
   controller::Wakeup pause(runtime_.io());
   while (true) {
     co_await pause.wait(kMinWritePauseS);
-    co_await wakeup_.wait(std::max(0.0, tuning_.flush_s - kMinWritePauseS));
+    co_await wakeup_.wait(std::max(0.0, tuning_.write_batch_interval_s - kMinWritePauseS));
     update_write_share();
     const auto now = core::Steady::now();
     const auto cache_version = state_.with([](ControllerState& state) { return state.cache.version(); });
@@ -46,7 +46,7 @@
       co_await exits_.flush();
     }
     if (now >= next_usage) {
-      next_usage = now + runtime_.jitter(tuning_.window_s / kUsageRecordsPerWindow);
+      next_usage = now + runtime_.jitter(tuning_.usage_window_s / kUsageRecordsPerWindow);
       co_await usage_.record();
     }
   }
@@ -58,8 +58,9 @@
 }
 
 asio::awaitable<void> PartitionWriter::run_round(core::TimePoint now, std::uint64_t cache_version) {
-  next_round_ = now + core::secs(tuning_.round_s);
-  const double round_s = std::min(tuning_.round_s * kMaxRoundsBooked, core::since(last_round_, now));
+  next_round_ = now + core::secs(tuning_.scheduling_interval_s);
+  const double round_s =
+      std::min(tuning_.scheduling_interval_s * kMaxRoundsBooked, core::since(last_round_, now));
   last_round_ = now;
   round_cache_version_ = cache_version;
   // The round's transactions also record task exits, so that the flush has little left to write.
@@ -75,7 +76,8 @@
     for (std::uint32_t p = 0; p < state.partitions.size(); ++p)
       if (const auto& leader = state.cache.leadership(core::PartitionId{p}).leader; !leader.empty())
         leaders.insert(leader);
-    return write_share(leaders.size(), state.settings.nodes, leaders.contains(state.settings.label));
+    return write_share(leaders.size(), state.settings.controller_count,
+                       leaders.contains(state.settings.label));
   }));
 }
 
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -119,7 +119,7 @@
   for (const auto& placed : state.cache.on_machine(machine)) {
     const auto* job = state.cache.job(placed.job);
     if (!job || job->status != jobs::Status::live) continue;
-    if (!must_evict(termination_notice_s, job->spec, state.settings.report_s)) continue;
+    if (!must_evict(termination_notice_s, job->spec, state.settings.heartbeat_interval_s)) continue;
     if (job->spec.is_gang()) {
       gangs.insert(placed.job);
     } else {
@@ -209,7 +209,8 @@
                    state.names.partitions.name(partition), reservation.ready_in_s);
       const double duration_s =
           std::min(kMaxReservationS, reservation.ready_in_s * kReservationMargin +
-                                         kHeartbeatsForStop * state.settings.report_s + kReservationSlackS);
+                                         kHeartbeatsForStop * state.settings.heartbeat_interval_s +
+                                         kReservationSlackS);
       for (const auto machine : reservation.machines)
         reserve_machine(state, machine, demand.job, reservation.ready_in_s, duration_s, now);
     }
@@ -233,7 +234,8 @@
                    state.names.jobs.name(demand.job));
       stops[victim.machine].push_back({wire::Command::Kind::stop, job, victim.task, victim.attempt, grace_s});
     }
-    const double duration_s = longest_grace_s + kHeartbeatsForStop * state.settings.report_s + kStopSlackS;
+    const double duration_s =
+        longest_grace_s + kHeartbeatsForStop * state.settings.heartbeat_interval_s + kStopSlackS;
     for (const auto machine : preemption.machines)
       reserve_machine(state, machine, demand.job, longest_grace_s, duration_s, now);
   });
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -91,7 +91,8 @@
     next.ranges = move_tasks(job.ranges, item.partition, destination.partition, moved);
   }
   auto value = jobs::to_json(next, state.names);
-  if (boost::json::serialize(value).size() > state.settings.state_limits.value_bytes()) return std::nullopt;
+  if (boost::json::serialize(value).size() > state.settings.store_limits.max_value_bytes())
+    return std::nullopt;
 
   const auto& job_name = state.names.jobs.name(item.demand.job);
   const auto& from = state.names.partitions.name(item.partition);
--- a/src/scheduling/scheduling_round.cpp
+++ b/src/scheduling/scheduling_round.cpp
@@ -92,7 +92,7 @@
       sched::place(std::move(partition_view.nodes), demands, demand_costs, partition_view.team_quotas);
   auto batches =
       split_into_batches(partition, partition_view.fencing_token, plan.placements, demands, demand_costs,
-                         assignments::AssignmentWriter::max_assignments(settings_.state_limits));
+                         assignments::AssignmentWriter::max_assignments(settings_.store_limits));
   remove_placed_tasks(plan, demands);
   preemptor_.make_room(partition, plan, demands, view, machines, now);
   if (spdlog::should_log(spdlog::level::debug)) log_partition(partition, plan, demands);
--- a/tests/assignments/upgrade.hpp
+++ b/tests/assignments/upgrade.hpp
@@ -13,11 +13,11 @@
 
 /// Controllers before and after an upgrade that lowers the limits, on the same store.
 struct Upgrade {
-  explicit Upgrade(const config::StateLimits& limits) : Upgrade(settings_with(limits)) {}
+  explicit Upgrade(const config::StoreLimits& limits) : Upgrade(settings_with(limits)) {}
   explicit Upgrade(const config::Settings& settings) : after(settings) {}
-  static config::Settings settings_with(const config::StateLimits& limits) {
+  static config::Settings settings_with(const config::StoreLimits& limits) {
     auto settings = single_partition_settings();
-    settings.state_limits = limits;
+    settings.store_limits = limits;
     return settings;
   }
   /// Makes the writer's transaction durable. The readers see its keys in both possible orders.
--- a/tests/controller/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -15,7 +15,7 @@
 config::Settings settings() {
   auto settings = single_partition_settings();
   settings.teams = {{"red", 0, 0, 4, 8}};
-  settings.lease_s = 10;
+  settings.agent_lease_s = 10;
   settings.cancel_s = 30;
   return settings;
 }
@@ -73,7 +73,7 @@
   for (std::size_t m = 0; m < 2; ++m)
     state.cancellations_confirmed_at[m] = core::TimePoint(core::secs(c.confirmed_s[m]));
   EXPECT_EQ(state.can_renew_leases(core::TimePoint(core::secs(c.now_s))), c.may_renew);
-  state.settings.nodes = 4;  // one controller is not named: only the store has its cancellations
+  state.settings.controller_count = 4;  // one controller is not named: only the store has its cancellations
   EXPECT_EQ(state.can_renew_leases(core::TimePoint(core::secs(c.now_s))),
             c.may_renew && c.now_s < c.synchronized_s + 16.9);
 }
@@ -163,7 +163,7 @@
 // With an image of 10 GB and a heartbeat every 3 s: 150 s to run, 20 s to fetch, 12 s to start.
 TEST_P(Deferrable, WhileOnlyADeadlineAppliesAndIsFarAway) {
   auto changed_settings = settings();
-  changed_settings.report_s = 3;
+  changed_settings.heartbeat_interval_s = 3;
   changed_settings.objectives = GetParam().objectives;
   ControllerState state(changed_settings, {});
   jobs::JobSpec spec;
--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -24,7 +24,7 @@
 struct Leader : SinglePartition {
   Leader() {
     state.synchronized_at = kNow;
-    state.settings.lease_s = 10;
+    state.settings.agent_lease_s = 10;
     state.settings.cancel_s = 30;
     job_id = job("req-1", 2, false);
     assign(job_id, assignments(1, 7));
@@ -306,12 +306,12 @@
                     [](Leader& leader, Heartbeat&) { leader.state.synchronized_at = ago(17); }, std::nullopt},
         RefusalCase{"cancellations_of_peers_unknown",
                     [](Leader& leader, Heartbeat&) {
-                      leader.state.synchronized_at = ago(17), leader.state.settings.nodes = 2;
+                      leader.state.synchronized_at = ago(17), leader.state.settings.controller_count = 2;
                     },
                     CancellationsUnknown{}},
         RefusalCase{"cancellations_of_peers_known",
                     [](Leader& leader, Heartbeat&) {
-                      leader.state.synchronized_at = ago(16), leader.state.settings.nodes = 2;
+                      leader.state.synchronized_at = ago(16), leader.state.settings.controller_count = 2;
                     },
                     std::nullopt},
         RefusalCase{"deleted_machine",
