--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership.cpp
@@ -11,28 +11,30 @@
 using controller::ControllerState;
 
 constexpr double kDecisionIntervalS = 0.25;
-// Who decides from an older view may be missing that the leader is back.
+// A decision from an older view may overlook that the leader is back.
 constexpr double kMaxViewAgeS = 1.0;
-// A start command that got no answer for this long is made void by a new fencing token; until then its task
+// A start command without an answer for this long is invalidated by a new fencing token; until then its task
 // stays booked.
 constexpr double kUnansweredStartLimitS = 10;
-// A controller that has just come up may go again, and each transfer costs its partition a new fencing token.
+// A controller that has just started may fail again, and each transfer costs its partition a new fencing
+// token.
 constexpr double kAliveBeforeTransferS = 8;
 
-// How long a partition without a leader waits for each label that is preferred before ours: long for a
-// controller that is alive and will acquire it, short for one that is not listed.
+// How long a partition without a leader waits for each label that is preferred to this controller's: long
+// for a controller that is alive and will acquire it, short for one that is not listed.
 struct AcquisitionWaits {
-  double first_s;  // for whoever comes first
+  double base_s;  // for the most preferred label
   double per_alive_label_s;
   double per_absent_label_s;
 };
 constexpr AcquisitionWaits kFailoverWaits{0.2, 3.0, 0.3};
-// Nobody has ever led the partition: the deployment starts, and absent controllers may be about to come up.
+// The partition has never had a leader: the deployment is starting, and absent controllers may still come
+// up.
 constexpr AcquisitionWaits kFirstLeaderWaits{0.0, 3.0, 1.5};
 
 double acquisition_wait_s(const PartitionSnapshot& partition, const LeadershipSnapshot& snapshot) {
   const auto& waits = partition.leader.empty() ? kFirstLeaderWaits : kFailoverWaits;
-  double wait_s = waits.first_s;
+  double wait_s = waits.base_s;
   for (const auto& label : partition.preference) {
     if (label == snapshot.label) break;
     wait_s += snapshot.alive_since.contains(label) ? waits.per_alive_label_s : waits.per_absent_label_s;
@@ -40,8 +42,8 @@
   return wait_s;
 }
 
-// Our own earlier process is dead: nothing is gained by waiting. Where start commands of ours stay without an
-// answer, the partition is acquired once more for a new fencing token.
+// An earlier process of this label is dead, so its partitions are acquired without waiting. If start
+// commands of this process stay unanswered, it acquires the partition again for a new fencing token.
 bool should_acquire(const PartitionSnapshot& partition, const LeadershipSnapshot& snapshot,
                     core::TimePoint now) {
   switch (partition.status) {
@@ -58,7 +60,7 @@
   return false;
 }
 
-// The first label that is preferred to ours and has been alive for long enough.
+// Returns the first label that is preferred to this controller's and has been alive for long enough.
 std::optional<std::string> preferred_successor(const PartitionSnapshot& partition,
                                                const LeadershipSnapshot& snapshot, core::TimePoint now) {
   for (const auto& label : partition.preference) {
@@ -88,26 +90,26 @@
   return oldest;
 }
 
-// Nothing while the cache doesn't show this process as a member.
-std::optional<state::Transaction> acquisition(const ControllerState& state,
-                                              const AcquireLeadership& decision) {
+// Returns nullopt while the cache does not list this process as a member.
+std::optional<state::Transaction> acquisition_transaction(const ControllerState& state,
+                                                          const AcquireLeadership& decision) {
   const auto& label = state.settings.label;
-  const auto* own = state.cache.member(label);
-  if (!own || own->incarnation != state.incarnation) return std::nullopt;
+  const auto* own_member = state.cache.member(label);
+  if (!own_member || own_member->incarnation != state.incarnation) return std::nullopt;
   const auto key = state::keys::partition(state.names.partitions.name(decision.partition));
   state::Transaction transaction;
   transaction.compares.push_back({key, state.cache.leadership(decision.partition).revision});
-  transaction.compares.push_back({state::keys::member(label), own->revision});
-  // Its own label's earlier process is dead; another leader must have lost its membership.
+  transaction.compares.push_back({state::keys::member(label), own_member->revision});
+  // An earlier process of the same label is dead; any other leader must have lost its membership.
   if (!decision.from.empty() && decision.from != label)
     transaction.compares.push_back({state::keys::member(decision.from), 0});
   transaction.writes.push_back({key, state::encode(state::LeadershipRecord{label, state.incarnation, 0})});
   return transaction;
 }
 
-// Nothing if either side has changed since the decision.
-std::optional<state::Transaction> transfer_to(const ControllerState& state,
-                                              const TransferLeadership& decision) {
+// Returns nullopt if the successor's membership or this process's leadership has ended since.
+std::optional<state::Transaction> transfer_transaction(const ControllerState& state,
+                                                       const TransferLeadership& decision) {
   const auto* successor = state.cache.member(decision.to);
   if (!successor || !state.holds_leadership(decision.partition)) return std::nullopt;
   const auto key = state::keys::partition(state.names.partitions.name(decision.partition));
@@ -137,7 +139,7 @@
   return decisions;
 }
 
-std::optional<LeadershipSnapshot> Leadership::observe(ControllerState& state, core::TimePoint now) {
+std::optional<LeadershipSnapshot> Leadership::take_snapshot(ControllerState& state, core::TimePoint now) {
   if (!state.loaded || state.incarnation == 0 || state.store_lease == 0) return std::nullopt;
   if (core::since(state.synchronized_at, now) > kMaxViewAgeS) return std::nullopt;
   for (const auto& member : state.settings.members) {
@@ -164,10 +166,12 @@
 }
 
 asio::awaitable<void> Leadership::acquire(AcquireLeadership decision) {
-  auto transaction = state_.with([&](const ControllerState& state) { return acquisition(state, decision); });
+  auto transaction =
+      state_.with([&](const ControllerState& state) { return acquisition_transaction(state, decision); });
   if (!transaction) co_return;
   const auto partition = partition_name(state_, decision.partition);
-  // An answer that does not come is read back by the next sync: only the record says who leads the partition.
+  // If no answer comes, the next read of the store shows the outcome: only the record says who leads the
+  // partition.
   const auto result = co_await follower_.commit(std::move(*transaction));
   if (result.outcome == state::CommitStatus::done)
     spdlog::info("leadership acquired partition={} fencing_token={} from={}", partition, result.revision,
@@ -176,7 +180,8 @@
 }
 
 asio::awaitable<void> Leadership::transfer(TransferLeadership decision) {
-  auto transaction = state_.with([&](const ControllerState& state) { return transfer_to(state, decision); });
+  auto transaction =
+      state_.with([&](const ControllerState& state) { return transfer_transaction(state, decision); });
   if (!transaction) co_return;
   const auto partition = partition_name(state_, decision.partition);
   const auto result = co_await follower_.commit(std::move(*transaction));
@@ -189,7 +194,7 @@
   while (true) {
     co_await runtime_.sleep(kDecisionIntervalS);
     const auto now = core::Steady::now();
-    const auto snapshot = state_.with([&](ControllerState& state) { return observe(state, now); });
+    const auto snapshot = state_.with([&](ControllerState& state) { return take_snapshot(state, now); });
     if (!snapshot) continue;
     const auto decisions = decide_leadership(*snapshot, now);
     for (const auto& decision : decisions.acquisitions) co_await acquire(decision);
--- a/src/coordination/leadership.hpp
+++ b/src/coordination/leadership.hpp
@@ -1,5 +1,5 @@
-// Leadership of partitions: acquired by compare-and-swap on the partition's record, whose revision is the
-// fencing token.
+// Leadership of partitions. It is acquired by compare-and-swap on the partition's record, whose revision is
+// the fencing token.
 #pragma once
 
 #include <map>
@@ -18,69 +18,69 @@
 /// Who leads a partition according to its record and the member list, as this process sees them.
 enum class LeaderStatus {
   this_process,
-  earlier_process,  ///< of our label: dead, since this process runs; its fencing token must not be reused
+  earlier_process,  ///< an earlier process of this label, dead by now; its fencing token must not be reused
   alive,            ///< another controller that is listed as a member
-  missing,          ///< nobody yet, or a controller that has lost its membership
+  missing,          ///< no leader yet, or one that has lost its membership
 };
 
-/// One partition, as far as leadership is decided from it.
+/// The state of one partition that leadership decisions depend on.
 struct PartitionSnapshot {
   core::PartitionId partition;
-  std::string leader;  ///< label in the record; empty: nobody has ever led the partition
+  std::string leader;  ///< label in the record; empty: the partition has never had a leader
   LeaderStatus status = LeaderStatus::missing;
   core::TimePoint leader_missing_since{};  ///< meaningful while the leader is missing
-  std::vector<std::string> preference;     ///< labels in the order in which they should lead it
-  /// Of the start commands sent under our present fencing token: when the oldest without an answer was sent.
+  std::vector<std::string> preference;     ///< labels in the order of preference as leaders
+  /// When the oldest unanswered start command under the present fencing token was sent.
   std::optional<core::TimePoint> oldest_unanswered_start;
 };
 
-/// What leadership is decided from: one short look at the controller's state.
+/// The input of leadership decisions, copied from the controller's state under its lock.
 struct LeadershipSnapshot {
   std::string label;  ///< of this controller
-  /// By label of another controller: since when we have seen it listed. Those that aren't listed are left
-  /// out.
+  /// By label of another controller: since when it is listed as a member. Controllers that are not listed
+  /// are left out.
   std::map<std::string, core::TimePoint> alive_since;
   std::vector<PartitionSnapshot> partitions;
 };
 
-/// Record this process as the partition's leader, which gives the partition a new fencing token.
+/// Decision to record this process as the partition's leader, which gives the partition a new fencing token.
 struct AcquireLeadership {
   core::PartitionId partition;
-  std::string from;  ///< label of the leader in the record; empty: nobody has ever led the partition
+  std::string from;  ///< label of the leader in the record; empty: the partition has never had a leader
   bool operator==(const AcquireLeadership&) const = default;
 };
 
-/// Record another controller as the leader of a partition that we lead.
+/// Decision to record another controller as the leader of a partition that this process leads.
 struct TransferLeadership {
   core::PartitionId partition;
   std::string to;  ///< label
   bool operator==(const TransferLeadership&) const = default;
 };
 
-/// Carried out in this order: a partition without a leader waits for nothing else.
+/// Acquisitions are carried out first, so that a partition without a leader waits for nothing else.
 struct LeadershipDecisions {
   std::vector<AcquireLeadership> acquisitions;
   std::vector<TransferLeadership> transfers;
 };
 
-/// What this controller should do about each partition now. Pure: two controllers may well decide to acquire
-/// the same partition at once, and the compare-and-swap lets one of them succeed.
+/// Decides what this controller should do about each partition now. Two controllers may decide to acquire
+/// the same partition at once; the compare-and-swap lets only one succeed.
 LeadershipDecisions decide_leadership(const LeadershipSnapshot& snapshot, core::TimePoint now);
 
-/// Takes over partitions whose leader has lost its membership, and transfers leadership back to the
-/// controller that is preferred for a partition once that has been alive for a while.
+/// Acquires partitions whose leader has lost its membership, and transfers leadership back to a partition's
+/// preferred controller after that controller has been alive for a while.
 class Leadership {
  public:
   Leadership(controller::Runtime& runtime, controller::SharedState& state, StateFollower& follower)
       : runtime_(runtime), state_(state), follower_(follower) {}
 
-  /// Decides and carries out about four times a second, until the process ends.
+  /// Decides and acts about four times a second, until the process ends.
   asio::awaitable<void> run();
 
  private:
-  /// What `decide_leadership` needs; nothing while our view is too old, or we are no member, to decide at
-  /// all. Keeps up to date since when leaders are missing and other controllers are alive.
-  std::optional<LeadershipSnapshot> observe(controller::ControllerState& state, core::TimePoint now);
+  /// Returns the input of `decide_leadership`; nullopt while the state cache is too old or this process is
+  /// no member. Updates since when leaders are missing and other controllers are alive.
+  std::optional<LeadershipSnapshot> take_snapshot(controller::ControllerState& state, core::TimePoint now);
   asio::awaitable<void> acquire(AcquireLeadership decision);
   asio::awaitable<void> transfer(TransferLeadership decision);
 
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -9,9 +9,10 @@
 using controller::ControllerState;
 
 constexpr double kJoinRetryS = 0.3;
-constexpr double kRenewalsInALease = 4;
+constexpr double kRenewalsPerLease = 4;
 
-// Our label's earlier process is dead (each label runs once), so its member key is overwritten unseen.
+// An earlier process of this label is dead (each label runs once), so its member key is overwritten without
+// a condition.
 state::Transaction member_transaction(const std::string& label, std::uint64_t incarnation,
                                       std::uint64_t store_lease) {
   const state::Member member{incarnation, 0, state::kRecordLevel};
@@ -24,7 +25,7 @@
 
 std::optional<std::string_view> membership_loss(const ControllerState& state, state::LeaseRenewal renewal) {
   if (renewal == state::LeaseRenewal::expired) return "lease_expired";
-  // Only what the cache has read since the key was written says anything about it.
+  // The cache shows whether the key exists only after it has read the key's own write.
   if (!state.loaded || state.cache.revision() < state.joined_revision) return std::nullopt;
   const auto* member = state.cache.member(state.settings.label);
   if (!member) return "member_key_gone";
@@ -39,7 +40,7 @@
     co_return false;
   }
   const auto store_lease = std::get<std::uint64_t>(granted);
-  // The first store lease's number names this process: the key-value store never gives it out again.
+  // The number of the first store lease is the process's incarnation: the key-value store never reuses it.
   const auto incarnation = state_.with(
       [&](ControllerState& state) { return state.incarnation != 0 ? state.incarnation : store_lease; });
   const auto result =
@@ -66,7 +67,7 @@
       if (!co_await join()) co_await runtime_.sleep(kJoinRetryS);
       continue;
     }
-    co_await runtime_.sleep(tuning_.member_ttl_s / kRenewalsInALease);
+    co_await runtime_.sleep(tuning_.member_ttl_s / kRenewalsPerLease);
     const auto renewal = co_await store_.renew_lease(store_lease);
     const auto loss = state_.with([&](ControllerState& state) {
       const auto reason = membership_loss(state, renewal);
--- a/src/coordination/membership.hpp
+++ b/src/coordination/membership.hpp
@@ -1,5 +1,5 @@
-// This controller's membership: a key in the key-value store, attached to a store lease that is renewed while
-// the process lives.
+// This controller's membership: a key in the key-value store, attached to a store lease that is renewed
+// while the process runs.
 #pragma once
 
 #include <optional>
@@ -14,13 +14,13 @@
 
 namespace asio = boost::asio;
 
-/// Why the process has to join anew, for the log; nothing while its membership goes on. The key can be lost
-/// under a living store lease: a late write of our label's earlier process took it along.
+/// Returns why the process has to join again, for the log; nullopt while its membership is valid. The key
+/// can be lost while the store lease is valid: a late write of this label's earlier process replaces it.
 std::optional<std::string_view> membership_loss(const controller::ControllerState& state,
                                                 state::LeaseRenewal renewal);
 
-/// Joins, renews, and joins again when the store lease or the member key is lost. Other controllers may lead
-/// our partitions only once the key is gone.
+/// Joins, renews the store lease, and joins again when the lease or the member key is lost. Other
+/// controllers may lead this controller's partitions only once the key is gone.
 class Membership {
  public:
   Membership(controller::Runtime& runtime, controller::SharedState& state, state::KeyValueStore& store,
@@ -32,11 +32,10 @@
         settings_(settings),
         tuning_(tuning) {}
 
-  /// Runs until the process ends.
   asio::awaitable<void> run();
 
  private:
-  // False if it has to be tried again.
+  // Returns false if the caller has to retry.
   asio::awaitable<bool> join();
 
   controller::Runtime& runtime_;
--- a/src/coordination/peer_service.cpp
+++ b/src/coordination/peer_service.cpp
@@ -11,12 +11,12 @@
 using controller::ControllerState;
 
 constexpr double kPingIntervalS = 1.0;
-constexpr auto kCallLimit = std::chrono::milliseconds(1500);
-// To peers that don't answer each holds a socket for seconds; what is left out comes with the next ping.
+constexpr auto kCallTimeout = std::chrono::milliseconds(1500);
+// An announcement to a peer that does not answer occupies a socket for seconds. Cancellations that are not
+// announced reach the peers with the next ping.
 constexpr std::size_t kMaxAnnouncementsInFlight = 32;
 
-// Frames are made outside the coroutines: GCC 12 destroys aggregates twice that are temporaries of a
-// co_await.
+// Frames are created outside the coroutines: GCC 12 destroys aggregate temporaries of a co_await twice.
 std::string ping_frame(const std::string& label, std::uint64_t revision) {
   return peer::encode(peer::Ping{label, revision});
 }
@@ -30,37 +30,38 @@
   return {state.names.jobs.name(id), boost::json::serialize(jobs::to_json(*job, state.names)), job->revision};
 }
 
-// Empty if the job is not known here.
+// Returns an empty frame if the job is not known here.
 std::string cancellation_frame(const ControllerState& state, const std::string& job) {
   const auto id = state.names.jobs.find(job);
   return id && state.cache.job(*id) ? peer::encode(cancellation_notice(state, *id)) : std::string();
 }
 
-// A change like any other that the next read would show: applied ahead of it, as our own commits are.
+// Applies the change ahead of the next read of the store, as this controller's own commits are.
 void apply_cancellation(ControllerState& state, const peer::CancellationNotice& notice) {
   boost::system::error_code ec;
   auto record = boost::json::parse(notice.record, ec);
   if (!ec) state.cache.apply({state::keys::job(notice.job), std::move(record), notice.revision});
 }
 
-// What the sender of a ping, who has read everything until `revision`, may lack.
+// Returns the cancellations that the sender of a ping may lack after reading everything up to `revision`.
 std::string pong_frame(const ControllerState& state, std::uint64_t revision) {
   peer::Pong pong;
   pong.state_age_s = core::since(state.synchronized_at, core::Steady::now());
   const auto cancelled = state.cache.cancelled_after(revision);
-  // While it is read anew, our copy may lack what we have confirmed.
+  // While the state cache is reloaded, it may lack cancellations that this controller has confirmed.
   pong.complete = state.loaded && cancelled.has_value();
   for (const auto id : cancelled.value_or(std::vector<core::JobId>{}))
     pong.cancelled.push_back(cancellation_notice(state, id));
   return peer::encode(pong);
 }
 
-// `asked` is when the ping was sent: a cancellation that was confirmed later need not be in the answer.
-void apply_pong(ControllerState& state, std::size_t peer, const peer::Pong& pong, core::TimePoint asked) {
+// Applies a pong. It need not contain cancellations that were confirmed after `ping_sent_at`.
+void apply_pong(ControllerState& state, std::size_t peer, const peer::Pong& pong,
+                core::TimePoint ping_sent_at) {
   for (const auto& notice : pong.cancelled) apply_cancellation(state, notice);
   if (!pong.complete) return;
   auto& confirmed_at = state.cancellations_confirmed_at[peer];
-  confirmed_at = std::max(confirmed_at, asked);
+  confirmed_at = std::max(confirmed_at, ping_sent_at);
 }
 
 const char* name_of(peer::DecodeError error) {
@@ -86,15 +87,15 @@
   const auto sent = core::Steady::now();
   const auto revision = state_.with([](ControllerState& state) { return state.cache.revision(); });
   std::string request = ping_frame(settings_.label, revision);
-  const auto frame = co_await peers_.link(peer).call(std::move(request), kCallLimit);
+  const auto frame = co_await peers_.link(peer).call(std::move(request), kCallTimeout);
   const auto pong = peer::decode_answer<peer::Pong>(frame);
-  note_reachability(peer, pong ? Reachability::reachable : Reachability::unreachable);
+  update_reachability(peer, pong ? Reachability::reachable : Reachability::unreachable);
   if (!pong) co_return;
   peers_.heard(peer, core::Steady::now(), sent - core::secs(pong->state_age_s));
   state_.with([&](ControllerState& state) { apply_pong(state, peer, *pong, sent); });
 }
 
-void PeerService::note_reachability(std::size_t peer, Reachability now) {
+void PeerService::update_reachability(std::size_t peer, Reachability now) {
   if (reachability_[peer] == now) return;
   reachability_[peer] = now;
   spdlog::debug("peer {} peer={}", now == Reachability::reachable ? "reachable" : "unreachable",
@@ -131,7 +132,7 @@
   co_return reply_frame(http::status::kOk, "");
 }
 
-// These two are answers, never requests.
+// Pong and Reply are answers, never requests.
 asio::awaitable<std::string> PeerService::answer(peer::Pong) {
   co_return reply_frame(http::status::kBadRequest, "");
 }
@@ -139,8 +140,8 @@
   co_return reply_frame(http::status::kBadRequest, "");
 }
 
-// A help on top of the bound on the age of what is known, never instead of it: a leader that the key-value
-// store refuses would else go on with the job's tasks until its next read, and start others of them.
+// Complements the bound on the age of the state cache: otherwise a leader that the key-value store refuses
+// would continue the job's tasks, and start more of them, until its next read.
 void PeerService::announce_cancellation(const std::string& job) {
   const auto frame = state_.with([&](ControllerState& state) { return cancellation_frame(state, job); });
   if (frame.empty()) return;
@@ -153,7 +154,7 @@
 
 asio::awaitable<void> PeerService::announce(std::size_t peer, std::string frame) {
   const auto place = announcements_.take();
-  co_await peers_.link(peer).call(std::move(frame), kCallLimit);
+  co_await peers_.link(peer).call(std::move(frame), kCallTimeout);
 }
 
 }  // namespace finchrun::coordination
--- a/src/coordination/peer_service.hpp
+++ b/src/coordination/peer_service.hpp
@@ -1,5 +1,5 @@
-// What this controller sends to the others, and how it answers them: pings, cancellations, relayed heartbeats
-// and relayed requests to the key-value store.
+// Requests to other controllers and answers to theirs: pings, cancellations, relayed heartbeats and relayed
+// requests to the key-value store.
 #pragma once
 
 #include <functional>
@@ -18,10 +18,10 @@
 
 namespace asio = boost::asio;
 
-/// Gossip of cancellations, and the answers to other controllers' frames.
+/// Exchanges cancellations with the other controllers, and answers their frames.
 class PeerService {
  public:
-  /// Handles a heartbeat that another controller relays: its body, as the agent sent it.
+  /// Handles a heartbeat that another controller relays; the argument is its body as the agent sent it.
   using HeartbeatHandler = std::function<http::Response(const std::string&)>;
 
   PeerService(controller::Runtime& runtime, controller::SharedState& state, state::KeyValueStore& store,
@@ -36,11 +36,11 @@
 
   /// Pings every other controller about once a second, until the process ends.
   asio::awaitable<void> run();
-  /// Answers a frame of another controller. One that can't be read, or is no request, is answered with status
-  /// 400 rather than dropped: a sender of another version must not take us for unreachable.
+  /// Answers a frame of another controller; with status 400 if it can't be read or is not a request, so that
+  /// a sender of another version does not treat this controller as unreachable.
   asio::awaitable<std::string> handle(std::string frame);
-  /// Sends the other controllers a cancellation that is about to be confirmed to its user. Best effort: a
-  /// frame may be lost, and rule `ran_cancelled` rests on leases that expire, not on this.
+  /// Sends the other controllers a cancellation before it is confirmed to its user. Best effort: a frame may
+  /// be lost, and rule `ran_cancelled` relies on leases that expire instead.
   void announce_cancellation(const std::string& job);
 
  private:
@@ -48,7 +48,7 @@
 
   asio::awaitable<void> ping(std::size_t peer);
   asio::awaitable<void> announce(std::size_t peer, std::string frame);
-  void note_reachability(std::size_t peer, Reachability now);
+  void update_reachability(std::size_t peer, Reachability now);
 
   // The answer to each type of message, as a frame.
   asio::awaitable<std::string> answer(peer::Ping ping);
@@ -65,7 +65,7 @@
   const config::Settings& settings_;
   HeartbeatHandler handle_heartbeat_;
   core::InFlightCounter announcements_;
-  std::vector<Reachability> reachability_;  // by peer, for the log alone
+  std::vector<Reachability> reachability_;  // by peer, only for the log
 };
 
 }  // namespace finchrun::coordination
--- a/src/coordination/peer_table.cpp
+++ b/src/coordination/peer_table.cpp
@@ -6,9 +6,9 @@
 namespace finchrun::coordination {
 namespace {
 
-constexpr double kFreshStateS = 2.0;  // a peer whose view is older may have lost the store as well
+constexpr double kMaxStateAgeS = 2.0;  // a peer with an older view may have lost the store as well
 
-// Made outside the coroutine: GCC 12 destroys aggregates twice that are temporaries of a co_await.
+// Created outside the coroutine: GCC 12 destroys aggregate temporaries of a co_await twice.
 std::string store_request_frame(bool post, const std::string& target, const std::string& body) {
   return peer::encode(peer::StoreRequest{post, target, body});
 }
@@ -16,19 +16,19 @@
 }  // namespace
 
 void PeerTable::heard(std::size_t peer, core::TimePoint now, core::TimePoint state_seen_at) {
-  heard_at_.at(peer) = now;
+  answered_at_.at(peer) = now;
   state_seen_at_.at(peer) = std::max(state_seen_at_.at(peer), state_seen_at);
 }
 
 std::optional<std::size_t> PeerTable::in_touch_with_store() const {
   const auto now = core::Steady::now();
   for (std::size_t peer = 0; peer < links_.size(); ++peer)
-    if (core::since(state_seen_at_[peer], now) < kFreshStateS) return peer;
+    if (core::since(state_seen_at_[peer], now) < kMaxStateAgeS) return peer;
   return std::nullopt;
 }
 
 bool PeerTable::any_heard_within(double seconds, core::TimePoint now) const {
-  return std::any_of(heard_at_.begin(), heard_at_.end(),
+  return std::any_of(answered_at_.begin(), answered_at_.end(),
                      [&](core::TimePoint heard) { return core::since(heard, now) < seconds; });
 }
 
--- a/src/coordination/state_follower.hpp
+++ b/src/coordination/state_follower.hpp
@@ -1,4 +1,4 @@
-// Keeps the state cache up to date with the key-value store, and proves answers to users fresh.
+// Keeps the state cache up to date with the key-value store, and provides linearizable reads.
 #pragma once
 
 #include <list>
@@ -12,13 +12,13 @@
 
 namespace asio = boost::asio;
 
-/// Whether everything has to be read instead of the changes since the last read. After a partition of the
-/// network or an outage all changes since would come in one answer, as large as they are; everything in pages
-/// is less, and what is known is kept until it has come.
-bool reads_everything(bool loaded_once, core::TimePoint synchronized_at, core::TimePoint now);
+/// True if all records have to be read instead of the changes since the last read. After an outage or a
+/// network partition, one answer would contain all changes, whatever their size. All records come in pages,
+/// and the cache keeps its contents until the last page.
+bool needs_full_load(bool loaded_once, core::TimePoint synchronized_at, core::TimePoint now);
 
-/// The one place where changes of the key-value store enter the state cache: those that others made, and
-/// those that this controller commits.
+/// The only component that applies changes of the key-value store to the state cache: changes by other
+/// controllers, and commits of this one.
 class StateFollower {
  public:
   StateFollower(controller::Runtime& runtime, controller::SharedState& state, state::KeyValueStore& store,
@@ -27,22 +27,22 @@
         state_(state),
         store_(store),
         tuning_(tuning),
-        spacing_(runtime.io()),
+        min_interval_(runtime.io()),
         wakeup_(runtime.io()) {}
 
-  /// Reads the store's changes again and again, until the process ends.
+  /// Reads the store's changes repeatedly, until the process ends.
   asio::awaitable<void> run();
-  /// Waits until a read of the store's changes that was sent after this call has been applied: what the cache
-  /// holds then is linearizable with everything that was answered before the call. False after `deadline`, or
-  /// at once if very many wait already.
+  /// Waits until a read of the store's changes that was sent after this call has been applied: the cache is
+  /// then linearizable with everything answered before the call. Returns false after `deadline`, or at once
+  /// if too many callers wait already.
   asio::awaitable<bool> linearizable_read(core::TimePoint deadline);
-  /// Commits, and applies what was committed to the cache at once.
+  /// Commits, and applies the committed writes to the cache at once.
   asio::awaitable<state::CommitResult> commit(state::Transaction transaction);
-  /// Has the next read sent as soon as the pause between reads allows.
+  /// Starts the next read as soon as the minimum interval between reads allows.
   void wake() { wakeup_.notify(); }
 
  private:
-  // A linearizable read that is under way.
+  // A linearizable read that is in flight.
   struct Waiter {
     core::TimePoint arrived;
     bool served = false;
@@ -50,19 +50,20 @@
   };
   enum class ReadOutcome { applied, revision_too_old, failed };
 
-  // Reads everything into the cache; false if a page failed, the cache is as it was then.
-  asio::awaitable<bool> load();
+  // Reads all records into the cache. Returns false if a page failed; the cache is unchanged then.
+  asio::awaitable<bool> load_all();
   asio::awaitable<ReadOutcome> read_changes();
-  // Polls share reads: at most one read in each short interval, at least one in each long one.
+  // Waits for the minimum interval between reads, then for `wake` or the maximum interval, so that many
+  // callers share a read.
   asio::awaitable<void> pause_after(ReadOutcome read);
-  void serve_waiters(core::TimePoint read_sent);
+  void complete_waiters(core::TimePoint read_sent);
 
   controller::Runtime& runtime_;
   controller::SharedState& state_;
   state::KeyValueStore& store_;
   const config::Tuning& tuning_;
-  controller::Wakeup spacing_;  // between two reads; nothing ends it early
-  controller::Wakeup wakeup_;   // of the next read
+  controller::Wakeup min_interval_;  // minimum interval between reads; never notified
+  controller::Wakeup wakeup_;        // starts the next read early
   std::list<std::shared_ptr<Waiter>> waiters_;
 };
 
--- a/tests/coordination/peer_table_test.cpp
+++ b/tests/coordination/peer_table_test.cpp
@@ -15,7 +15,7 @@
 
 core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
 
-// Answers every frame with the same one, and keeps the last that it was sent.
+// Answers every frame with `answer`, and stores the last frame sent.
 struct FixedLink : peer::Link {
   asio::awaitable<std::optional<std::string>> call(std::string frame, milliseconds) override {
     sent = std::move(frame);
@@ -56,7 +56,7 @@
   PeerTable peers{make_links(links)};
 };
 
-TEST_F(PeerTableTest, RelaysToThePeerWithAFreshView) {
+TEST_F(PeerTableTest, RelaysThroughPeerWithFreshView) {
   peers.heard(0, at(1000), at(997.9));
   peers.heard(1, at(1000), at(998.1));
   links[1]->answer = peer::encode(peer::Reply{200, "done"});
@@ -68,21 +68,21 @@
   EXPECT_EQ(*links[1]->sent, peer::encode(peer::StoreRequest{true, "/commit", "{}"}));
 }
 
-// Certainly not carried out, which 503 says and no answer would leave open.
-TEST_F(PeerTableTest, AnswersUnavailableWithoutSendingWhenNobodyIsInTouch) {
+// 503 says that the request was certainly not executed; status 0 would leave that open.
+TEST_F(PeerTableTest, AnswersUnavailableWithoutSendingIfNoPeerHasFreshView) {
   peers.heard(0, at(1000), at(997.9));
   EXPECT_EQ(relay().status, 503);
   EXPECT_FALSE(links[0]->sent);
   EXPECT_FALSE(links[1]->sent);
 }
 
-TEST_F(PeerTableTest, LostAnswerLeavesOpenWhatHappened) {
+TEST_F(PeerTableTest, LostAnswerHasStatusZero) {
   peers.heard(0, at(1000), at(1000));
   EXPECT_EQ(relay().status, 0);
   EXPECT_TRUE(links[0]->sent);
 }
 
-TEST_F(PeerTableTest, ViewAgesUntilThePeerAnswersAgain) {
+TEST_F(PeerTableTest, ViewAgesUntilPeerAnswersAgain) {
   peers.heard(1, at(1000), at(1000));
   core::Steady::simulate(at(1001.9));
   EXPECT_EQ(peers.in_touch_with_store(), 1u);
@@ -90,14 +90,14 @@
   EXPECT_EQ(peers.in_touch_with_store(), std::nullopt);
 }
 
-// Answers may arrive in another order than they were asked for.
-TEST_F(PeerTableTest, OlderViewDoesNotReplaceANewerOne) {
+// Answers may arrive in a different order than their requests were sent.
+TEST_F(PeerTableTest, OlderViewDoesNotReplaceNewerOne) {
   peers.heard(0, at(1000), at(999.5));
   peers.heard(0, at(1000), at(990));
   EXPECT_EQ(peers.in_touch_with_store(), 0u);
 }
 
-TEST_F(PeerTableTest, HearsOfPeersThatAreOutOfTouchWithTheStore) {
+TEST_F(PeerTableTest, PeerWithStaleViewCountsAsAnswering) {
   EXPECT_FALSE(peers.any_heard_within(3, at(1000)));
   peers.heard(1, at(1000), at(900));
   EXPECT_TRUE(peers.any_heard_within(3, at(1002.9)));
