--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -22,35 +22,36 @@
 using http::Socket;
 
 constexpr std::size_t kMaxIdleConnections = 3;  // to one controller
-constexpr std::size_t kSizeBytes = 4;           // that a frame's size takes
+constexpr std::size_t kSizeFieldBytes = 4;      // of the size field before a frame
 constexpr std::size_t kReadChunkBytes = 4096;
 constexpr auto kIdleTimeout = std::chrono::seconds(60);
 constexpr auto kWriteTimeout = std::chrono::seconds(5);
 constexpr auto kServerDeadlineTick = std::chrono::seconds(2);
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);  // after a failure, or above the limit
+constexpr auto kAcceptPause =
+    std::chrono::milliseconds(50);  // after a failure, or above the connection limit
 
-std::string with_size(const std::string& frame) {
-  std::string bytes(kSizeBytes, '\0');
+std::string with_size_field(const std::string& frame) {
+  std::string bytes(kSizeFieldBytes, '\0');
   boost::endian::store_big_u32(reinterpret_cast<unsigned char*>(bytes.data()),
                                static_cast<std::uint32_t>(frame.size()));
   return bytes + frame;
 }
 
-// The frame's size in its first bytes; nothing until those have come.
+// Returns the frame's size from its first bytes, nullopt until those have been received.
 std::optional<std::size_t> announced_size(const std::string& bytes) {
-  if (bytes.size() < kSizeBytes) return std::nullopt;
+  if (bytes.size() < kSizeFieldBytes) return std::nullopt;
   return boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(bytes.data()));
 }
 
 void prepare(Socket& socket) {
-  Code ignored;  // a socket that is broken shows it in the first read or write
+  Code ignored;  // errors of a broken socket surface in the first read or write
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
 }
 
-// False: the connection is of no more use.
+// Returns false if the connection can't be used any more.
 asio::awaitable<bool> write_frame(Socket& socket, std::string frame) {
-  const std::string bytes = with_size(frame);
+  const std::string bytes = with_size_field(frame);
   for (std::size_t written = 0; written < bytes.size();) {
     Code ec;
     written += socket.write_some(asio::buffer(bytes.data() + written, bytes.size() - written), ec);
@@ -60,23 +61,23 @@
   co_return true;
 }
 
-// Nothing: the connection is of no more use. One exchange at a time is under way on a connection, so a
-// frame's bytes are all that comes.
+// Returns nullopt if the connection can't be used any more. A connection carries one request at a time, so
+// no bytes follow the frame.
 asio::awaitable<std::optional<std::string>> read_frame(Socket& socket) {
   std::string bytes;
   std::array<char, kReadChunkBytes> chunk;
   std::optional<std::size_t> size;
-  while (!size || bytes.size() < kSizeBytes + *size) {
+  while (!size || bytes.size() < kSizeFieldBytes + *size) {
     if (const Code ec = co_await http::wait_for(socket, Socket::wait_read)) co_return std::nullopt;
     Code ec;
     const auto count = socket.read_some(asio::buffer(chunk), ec);
     if (ec && ec != asio::error::would_block) co_return std::nullopt;
     bytes.append(chunk.data(), count);
     size = announced_size(bytes);
-    if (size && *size > kMaxFrame) co_return std::nullopt;  // not one of ours
+    if (size && *size > kMaxFrameBytes) co_return std::nullopt;  // not a frame of this protocol
   }
-  if (bytes.size() > kSizeBytes + *size) co_return std::nullopt;
-  co_return bytes.substr(kSizeBytes);
+  if (bytes.size() > kSizeFieldBytes + *size) co_return std::nullopt;
+  co_return bytes.substr(kSizeFieldBytes);
 }
 
 // Answers the frames of one connection, one after the other.
@@ -89,7 +90,7 @@
     guard.move_to(core::Steady::now() + kIdleTimeout);
     auto frame = co_await read_frame(socket);
     if (!frame) co_return;
-    guard.move_to(core::TimePoint::max());  // handlers have deadlines of their own
+    guard.move_to(core::TimePoint::max());  // handlers have their own deadlines
     std::string answer = co_await (*handler)(std::move(*frame));
     guard.move_to(core::Steady::now() + kWriteTimeout);
     if (!co_await write_frame(socket, std::move(answer))) co_return;
@@ -115,11 +116,11 @@
 }
 
 asio::awaitable<std::optional<std::string>> TcpLink::call(std::string frame,
-                                                          std::chrono::milliseconds limit) {
+                                                          std::chrono::milliseconds timeout) {
   auto socket = take_idle();
   const bool connected = socket != nullptr;
   if (!connected) socket = std::make_unique<Socket>(executor_);
-  const core::Deadlines::Guard guard(deadlines_, *socket, core::Steady::now() + limit);
+  const core::Deadlines::Guard guard(deadlines_, *socket, core::Steady::now() + timeout);
   if (!connected && !co_await connect(*socket, to_)) co_return std::nullopt;
   if (!co_await write_frame(*socket, std::move(frame))) co_return std::nullopt;
   auto answer = co_await read_frame(*socket);
--- a/src/peer/link.hpp
+++ b/src/peer/link.hpp
@@ -18,29 +18,29 @@
 
 namespace asio = boost::asio;
 
-/// The way to one other controller. Tests put a simulated network in its place.
+/// A connection to one other controller. Tests use a simulated network instead.
 class Link {
  public:
   virtual ~Link() = default;
-  /// Sends a frame and returns the answer's. Nothing: no answer within `limit`, and the request might have
-  /// been carried out, or might still be.
+  /// Sends a frame and returns the answer's frame; nullopt if none came within `timeout`, and then the
+  /// request might have been executed, or might still be.
   virtual asio::awaitable<std::optional<std::string>> call(std::string frame,
-                                                           std::chrono::milliseconds limit) = 0;
+                                                           std::chrono::milliseconds timeout) = 0;
 };
 
-/// A link over TCP, with one request at a time on a connection: calls don't wait for each other, each takes
-/// an idle connection or opens one. A few are kept open for the next calls.
+/// A link over TCP, with one request at a time on a connection. Calls don't wait for each other: each takes
+/// an idle connection or opens one. A few connections are kept open.
 class TcpLink : public Link {
  public:
-  /// `deadlines` closes the sockets of calls that have reached their limit.
+  /// `deadlines` closes the sockets of calls that have reached their timeout.
   TcpLink(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor, config::Endpoint to)
       : deadlines_(std::move(deadlines)), executor_(std::move(executor)), to_(std::move(to)) {}
   asio::awaitable<std::optional<std::string>> call(std::string frame,
-                                                   std::chrono::milliseconds limit) override;
+                                                   std::chrono::milliseconds timeout) override;
 
  private:
   using Socket = asio::ip::tcp::socket;
-  // Null if none is idle.
+  // Returns null if no connection is idle.
   std::unique_ptr<Socket> take_idle();
 
   std::shared_ptr<core::Deadlines> deadlines_;
@@ -49,7 +49,7 @@
   std::vector<std::unique_ptr<Socket>> idle_;
 };
 
-/// Takes a frame and returns the answer's. One that throws ends the connection without an answer.
+/// Takes a frame and returns the answer's frame. If it throws, the connection is closed without an answer.
 using FrameHandler = std::function<asio::awaitable<std::string>(std::string)>;
 
 /// Answers the frames of other controllers, until the event loop ends. Throws if the address can't be bound.
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -8,7 +8,8 @@
 
 namespace finchrun::peer {
 
-// Found by cereal through the messages' namespace. Fields and their order are the frame's.
+// cereal finds these functions by argument-dependent lookup. The order of the fields is part of the frame
+// format.
 template <class Archive>
 void serialize(Archive& archive, Ping& ping) {
   archive(ping.label, ping.revision);
@@ -37,7 +38,7 @@
 std::string encode(const Message& message) {
   std::ostringstream out;
   cereal::PortableBinaryOutputArchive archive(out);
-  archive(kVersion, message);
+  archive(kProtocolVersion, message);
   return std::move(out).str();
 }
 
@@ -47,11 +48,11 @@
     cereal::PortableBinaryInputArchive archive(in);
     std::uint32_t version = 0;
     archive(version);
-    if (version != kVersion) return DecodeError::other_version;
+    if (version != kProtocolVersion) return DecodeError::other_version;
     Message message;
     archive(message);
     return message;
-  } catch (const std::exception&) {  // cereal's own, or an absurd length
+  } catch (const std::exception&) {  // thrown by cereal, or for an implausible length
     return DecodeError::malformed;
   }
 }
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -1,8 +1,8 @@
-// What controllers say to each other: one request and one answer a frame.
+// Messages between controllers: one request and one answer, each in a frame.
 //
-// Frames are part of the interface between two versions during an upgrade, so they stay as they are byte for
-// byte: the fields and their order, the order of the messages in `Message`, and the version. A message that
-// is added goes to the end, and only to members whose record says that they know it.
+// Two versions exchange frames during an upgrade, so frames must not change by a byte: the fields and their
+// order, the order of the messages in `Message`, and the version. A new message is appended to `Message`,
+// and sent only to members whose member record says that they support it.
 #pragma once
 
 #include <boost/system/result.hpp>
@@ -15,51 +15,52 @@
 
 namespace finchrun::peer {
 
-/// Every frame starts with it. A controller answers the frames of another version with status 400.
-inline constexpr std::uint32_t kVersion = 2;
-/// In bytes, without its length. A longer one is none of ours, and the connection is closed.
-inline constexpr std::size_t kMaxFrame = 4 * 1024 * 1024;
+/// The version at the start of every frame. A controller answers frames of another version with status 400.
+inline constexpr std::uint32_t kProtocolVersion = 2;
+/// Largest frame in bytes, without the size field. A connection that announces a larger one is closed.
+inline constexpr std::size_t kMaxFrameBytes = 4 * 1024 * 1024;
 
-/// Sent by every controller to every other one about once a second; answered with `Pong`. Asks how the other
-/// gets on with the key-value store, and for the cancellations that it knows.
+/// Sent by every controller to every other one about once a second, answered with `Pong`. Asks how fresh the
+/// other's view of the key-value store is, and which cancellations it knows.
 struct Ping {
   std::string label;           ///< of the sender
-  std::uint64_t revision = 0;  ///< the sender has read all of the store's changes until then
+  std::uint64_t revision = 0;  ///< up to which the sender has read all of the store's changes
 };
 
 /// A job that is recorded as cancelled. Sent to all others by the controller that is about to confirm the
-/// cancellation to its user, and within `Pong`. By itself answered with `Reply` 200; nothing rests on its
-/// arrival.
+/// cancellation to its user, and as part of `Pong`. On its own it is answered with `Reply` 200; correctness
+/// does not depend on its arrival.
 struct CancellationNotice {
   std::string job;             ///< name
   std::string record;          ///< JSON, as in the store
   std::uint64_t revision = 0;  ///< of the change
 };
 
-/// The answer to `Ping`. Rule `ran_cancelled` rests on `complete`: leases are renewed while all controllers
-/// answer completely, also when the store does not.
+/// The answer to `Ping`. Rule `ran_cancelled` relies on `complete`: task leases are renewed while all
+/// controllers answer completely, even if the store does not answer.
 struct Pong {
   double state_age_s = 0;  ///< since the sender's newest answered read of the store's changes was sent
-  /// With what the other has read, `cancelled` names every job that this process, or an earlier one of its
-  /// label, has confirmed to any user as cancelled.
+  /// True if `cancelled`, together with what the receiver has read, names every job that this process, or an
+  /// earlier one of its label, has confirmed to any user as cancelled.
   bool complete = false;
   std::vector<CancellationNotice> cancelled;
 };
 
-/// An agent's heartbeat, sent to the leader of the agent's partition by the controller that received it: the
-/// agent can't reach its leader. Answered with `Reply`: what the leader answers the agent.
+/// An agent's heartbeat, relayed to the leader of the agent's partition by the controller that received it,
+/// because the agent can't reach the leader. Answered with `Reply`: the leader's answer to the agent.
 struct HeartbeatRelay {
   std::string heartbeat;  ///< its body, as the agent sent it
 };
 
-/// A request to the key-value store, sent by a controller that the store refuses or doesn't answer to one
-/// with a fresh view of the store. Answered with `Reply`: the store's response, status 0 if none came.
+/// A request to the key-value store, relayed through a controller with a fresh view of it because the store
+/// refuses or does not answer the sender. Answered with `Reply`: the store's response, status 0 if none
+/// came.
 struct StoreRequest {
-  bool post = false;  ///< else a GET
+  bool post = false;  ///< POST if true, else GET
   std::string target, body;
 };
 
-/// An HTTP response, in answer to everything but `Ping`. Status 400: not a request, or not understood.
+/// An HTTP response, the answer to every request but `Ping`. Status 400: not a request, or not understood.
 struct Reply {
   std::int32_t status = 0;
   std::string body;
@@ -68,15 +69,15 @@
 using Message = std::variant<Ping, Pong, HeartbeatRelay, StoreRequest, Reply, CancellationNotice>;
 
 enum class DecodeError {
-  other_version,  ///< another version's frame: its message is not looked at
-  malformed,      ///< cut short, an unknown message, or not a frame at all
+  other_version,  ///< a frame of another version; its message is not parsed
+  malformed,      ///< truncated, an unknown message, or not a frame at all
 };
 
 std::string encode(const Message& message);
-/// Never throws, whatever the frame holds.
+/// Never throws, whatever the frame contains.
 boost::system::result<Message, DecodeError> decode(const std::string& frame);
 
-/// The message in the answer to a request; nothing if no answer came, or one of another type.
+/// Returns the message in the answer to a request; nullopt if no answer came, or one of another type.
 template <class Expected>
 std::optional<Expected> decode_answer(const std::optional<std::string>& frame) {
   if (!frame) return std::nullopt;
--- a/tests/peer/messages_test.cpp
+++ b/tests/peer/messages_test.cpp
@@ -5,7 +5,7 @@
 namespace finchrun::peer {
 namespace {
 
-TEST(PeerMessages, SurviveTheWire) {
+TEST(PeerMessages, AreDecodedAsEncoded) {
   const auto ping = decode(encode(Ping{"perch-1", 77}));
   ASSERT_TRUE(ping);
   EXPECT_EQ(std::get<Ping>(*ping).label, "perch-1");
@@ -16,10 +16,10 @@
   EXPECT_TRUE(std::get<Pong>(*pong).complete);
   ASSERT_EQ(std::get<Pong>(*pong).cancelled.size(), 1u);
   EXPECT_EQ(std::get<Pong>(*pong).cancelled[0].revision, 42u);
-  const auto call = decode(encode(StoreRequest{true, "/commit", "{}"}));
-  ASSERT_TRUE(call);
-  EXPECT_TRUE(std::get<StoreRequest>(*call).post);
-  EXPECT_EQ(std::get<StoreRequest>(*call).target, "/commit");
+  const auto store_request = decode(encode(StoreRequest{true, "/commit", "{}"}));
+  ASSERT_TRUE(store_request);
+  EXPECT_TRUE(std::get<StoreRequest>(*store_request).post);
+  EXPECT_EQ(std::get<StoreRequest>(*store_request).target, "/commit");
   const auto relay = decode(encode(HeartbeatRelay{"report"}));
   ASSERT_TRUE(relay);
   EXPECT_EQ(std::get<HeartbeatRelay>(*relay).heartbeat, "report");
@@ -30,77 +30,78 @@
   EXPECT_EQ(std::get<CancellationNotice>(*cancelled).revision, 41u);
 }
 
-// Frames as version 2 has always written them: the version in production must understand each, and be
-// understood.
-struct Literal {
+// Frames as protocol version 2 writes them: the program in production must be able to read them, and its
+// frames must be read here.
+struct EncodedMessage {
   const char* name;
   Message message;
   std::string frame;
 };
-class Version2 : public testing::TestWithParam<Literal> {};
-TEST_P(Version2, IsWrittenAndReadByteForByte) {
+class ProtocolVersion2 : public testing::TestWithParam<EncodedMessage> {};
+TEST_P(ProtocolVersion2, KeepsFrameByteForByte) {
   EXPECT_EQ(encode(GetParam().message), GetParam().frame);
-  const auto back = decode(GetParam().frame);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->index(), GetParam().message.index());
-  EXPECT_EQ(encode(*back), GetParam().frame);
+  const auto decoded = decode(GetParam().frame);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->index(), GetParam().message.index());
+  EXPECT_EQ(encode(*decoded), GetParam().frame);
 }
-// Little-endian mark, version, index of the message, its fields; texts and lists with their length in front.
+// Little-endian flag, version, index of the message, its fields; strings and lists start with their length.
 std::string frame(char index, const std::string& fields) {
   return std::string("\x01\x02\0\0\0", 5) + index + std::string("\0\0\0", 3) + fields;
 }
 std::string number(char low) { return low + std::string(7, '\0'); }
-std::string text(const std::string& s) { return number(static_cast<char>(s.size())) + s; }
+std::string text(const std::string& value) { return number(static_cast<char>(value.size())) + value; }
 INSTANTIATE_TEST_SUITE_P(
-    Table, Version2,
-    testing::Values(Literal{"ping", Ping{"perch-1", 77}, frame(0, text("perch-1") + number(77))},
-                    Literal{"pong", Pong{2.0, true, {{"req-2", "{}", 42}}},
-                            frame(1, std::string("\0\0\0\0\0\0\0\x40\x01", 9) + number(1) + text("req-2") +
-                                         text("{}") + number(42))},
-                    Literal{"relay", HeartbeatRelay{"report"}, frame(2, text("report"))},
-                    Literal{"state_call", StoreRequest{true, "/commit", "{}"},
-                            frame(3, "\x01" + text("/commit") + text("{}"))},
-                    Literal{"reply", Reply{42, "body"},
-                            frame(4, std::string("\x2a\0\0\0", 4) + text("body"))},
-                    Literal{"cancelled", CancellationNotice{"req-1", "{}", 41},
-                            frame(5, text("req-1") + text("{}") + number(41))}),
+    Messages, ProtocolVersion2,
+    testing::Values(EncodedMessage{"ping", Ping{"perch-1", 77}, frame(0, text("perch-1") + number(77))},
+                    EncodedMessage{"pong", Pong{2.0, true, {{"req-2", "{}", 42}}},
+                                   frame(1, std::string("\0\0\0\0\0\0\0\x40\x01", 9) + number(1) +
+                                                text("req-2") + text("{}") + number(42))},
+                    EncodedMessage{"heartbeat_relay", HeartbeatRelay{"report"}, frame(2, text("report"))},
+                    EncodedMessage{"store_request", StoreRequest{true, "/commit", "{}"},
+                                   frame(3, "\x01" + text("/commit") + text("{}"))},
+                    EncodedMessage{"reply", Reply{42, "body"},
+                                   frame(4, std::string("\x2a\0\0\0", 4) + text("body"))},
+                    EncodedMessage{"cancellation_notice", CancellationNotice{"req-1", "{}", 41},
+                                   frame(5, text("req-1") + text("{}") + number(41))}),
     [](const auto& info) { return std::string(info.param.name); });
 
-std::string cut_short() {
+std::string truncated_frame() {
   auto frame = encode(Reply{200, "body"});
   frame.resize(frame.size() - 3);
   return frame;
 }
-std::string of_version(char version) {
+std::string frame_of_version(char version) {
   auto frame = encode(Reply{200, "body"});
   frame[1] = version;
   return frame;
 }
-struct Unreadable {
+struct UnreadableCase {
   const char* name;
   std::string frame;
   DecodeError error;
 };
-class UnreadableFrame : public testing::TestWithParam<Unreadable> {};
-TEST_P(UnreadableFrame, IsNoMessageAndNoAnswer) {
+class UnreadableFrame : public testing::TestWithParam<UnreadableCase> {};
+TEST_P(UnreadableFrame, IsRejectedAsMessageAndAnswer) {
   const auto message = decode(GetParam().frame);
   ASSERT_FALSE(message);
   EXPECT_EQ(message.error(), GetParam().error);
   EXPECT_FALSE(decode_answer<Reply>(GetParam().frame));
 }
 INSTANTIATE_TEST_SUITE_P(
-    Table, UnreadableFrame,
-    testing::Values(Unreadable{"empty", "", DecodeError::malformed},
-                    Unreadable{"one_letter", "x", DecodeError::malformed},
-                    Unreadable{"all_ones", std::string(64, '\xff'), DecodeError::other_version},
-                    Unreadable{"cut_short", cut_short(), DecodeError::malformed},
-                    Unreadable{"message_without_a_meaning", frame(6, text("field")), DecodeError::malformed},
-                    Unreadable{"absurd_length", frame(2, std::string(8, '\xff')), DecodeError::malformed},
-                    Unreadable{"version_1", of_version(1), DecodeError::other_version},
-                    Unreadable{"version_9", of_version(9), DecodeError::other_version}),
+    Frames, UnreadableFrame,
+    testing::Values(UnreadableCase{"empty", "", DecodeError::malformed},
+                    UnreadableCase{"one_byte", "x", DecodeError::malformed},
+                    UnreadableCase{"all_ones", std::string(64, '\xff'), DecodeError::other_version},
+                    UnreadableCase{"truncated", truncated_frame(), DecodeError::malformed},
+                    UnreadableCase{"unknown_message", frame(6, text("field")), DecodeError::malformed},
+                    UnreadableCase{"implausible_length", frame(2, std::string(8, '\xff')),
+                                   DecodeError::malformed},
+                    UnreadableCase{"version_1", frame_of_version(1), DecodeError::other_version},
+                    UnreadableCase{"version_9", frame_of_version(9), DecodeError::other_version}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(PeerMessages, AnswerIsOfTheExpectedTypeOrNothing) {
+TEST(PeerMessages, AnswerOfAnotherTypeIsRejected) {
   const auto reply = decode_answer<Reply>(encode(Reply{200, "body"}));
   ASSERT_TRUE(reply);
   EXPECT_EQ(reply->body, "body");
