--- a/src/core/clock.hpp
+++ b/src/core/clock.hpp
@@ -1,5 +1,5 @@
-// Times: a steady clock for everything that is decided, the time of day only for what users and records show.
-// Tests put a simulated clock in its place, so that no test sleeps on real time.
+// A steady clock for all decisions, and the time of day for users and records. Tests use a simulated clock,
+// so that no test waits in real time.
 #pragma once
 
 #include <boost/asio/basic_waitable_timer.hpp>
@@ -8,7 +8,7 @@
 
 namespace finchrun::core {
 
-/// A steady clock; in tests, the simulated one.
+/// A steady clock, simulated in tests.
 struct Steady {
   using duration = std::chrono::steady_clock::duration;
   using rep = duration::rep;
@@ -17,8 +17,8 @@
   static constexpr bool is_steady = true;
 
   static time_point now() noexcept;
-  /// Tests only: from now on the clock shows `now` and stands still until the next call; nothing: the real
-  /// clock.
+  /// Tests only: sets the clock to `now`, where it stands still until the next call; nullopt restores the
+  /// real clock.
   static void simulate(std::optional<time_point> now) noexcept;
   static bool simulated() noexcept;
 };
@@ -26,7 +26,7 @@
 using TimePoint = Steady::time_point;
 using Seconds = std::chrono::duration<double>;
 
-/// A number of seconds as the clock's duration.
+/// Converts seconds to the clock's duration.
 inline Steady::duration secs(double seconds) {
   return std::chrono::duration_cast<Steady::duration>(Seconds(seconds));
 }
@@ -35,7 +35,7 @@
 /// Seconds since 1970, for users and records only: the time of day may jump.
 double wall_s();
 
-/// Under a simulated clock timers end at the next poll of the event loop that its test lets through.
+/// Under a simulated clock, a timer expires at the next poll of the event loop by its test.
 struct WaitTraits {
   static Steady::duration to_wait_duration(const Steady::duration& d) {
     return Steady::simulated() ? Steady::duration::zero() : d;
@@ -44,7 +44,6 @@
     return Steady::simulated() ? Steady::duration::zero() : t - Steady::now();
   }
 };
-/// A timer by `Steady`.
 using Timer = boost::asio::basic_waitable_timer<Steady, WaitTraits>;
 
 }  // namespace finchrun::core
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -1,5 +1,5 @@
-// Deadlines of many sockets on one timer. A timer for each operation costs several system calls a request,
-// and those, not our own code, were most of what a heartbeat cost.
+// Deadlines of many sockets on one timer. A timer for each operation costs several system calls for each
+// request, which was most of the cost of a heartbeat.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -11,50 +11,51 @@
 
 namespace finchrun::core {
 
-/// One socket's deadline.
+/// A socket and its deadline.
 struct Deadline {
   boost::asio::ip::tcp::socket* socket = nullptr;
   TimePoint at;
 };
 
-/// The deadlines of any number of sockets, kept by one timer that runs while there are any.
+/// Closes sockets at their deadlines with one timer, which runs while there are any deadlines.
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
  public:
-  /// `tick`: how exactly deadlines are kept.
+  /// `tick`: interval between checks, the precision of the deadlines.
   Deadlines(const boost::asio::any_io_executor& executor, std::chrono::milliseconds tick)
       : timer_(executor), tick_(tick) {}
 
-  /// Closes the socket once its time has come, to within a tick. Lives no longer than the socket.
+  /// Closes the socket when its deadline has passed, to within a tick. Must not outlive the socket.
   class Guard {
    public:
     Guard(std::shared_ptr<Deadlines> all, boost::asio::ip::tcp::socket& socket, TimePoint at)
-        : all_(std::move(all)), entry_(all_->entries_.insert(all_->entries_.end(), {&socket, at})) {
-      all_->start();
+        : deadlines_(std::move(all)),
+          entry_(deadlines_->entries_.insert(deadlines_->entries_.end(), {&socket, at})) {
+      deadlines_->start_timer();
     }
-    ~Guard() { all_->entries_.erase(entry_); }
+    ~Guard() { deadlines_->entries_.erase(entry_); }
     Guard(const Guard&) = delete;
     Guard& operator=(const Guard&) = delete;
     void move_to(TimePoint at) { entry_->at = at; }
 
    private:
-    std::shared_ptr<Deadlines> all_;
+    std::shared_ptr<Deadlines> deadlines_;
     std::list<Deadline>::iterator entry_;
   };
 
  private:
   friend class Guard;
-  void start() {
-    if (ticking_) return;
-    ticking_ = true;
+  void start_timer() {
+    if (timer_running_) return;
+    timer_running_ = true;
     timer_.expires_after(tick_);
     timer_.async_wait([self = shared_from_this()](const boost::system::error_code& ec) {
-      self->ticking_ = false;
+      self->timer_running_ = false;
       if (ec) return;
-      self->sweep();
-      if (!self->entries_.empty()) self->start();
+      self->close_expired();
+      if (!self->entries_.empty()) self->start_timer();
     });
   }
-  void sweep() {
+  void close_expired() {
     const auto now = Steady::now();
     for (auto& deadline : entries_) {
       if (deadline.at > now) continue;
@@ -67,7 +68,7 @@
   Timer timer_;
   std::chrono::milliseconds tick_;
   std::list<Deadline> entries_;
-  bool ticking_ = false;
+  bool timer_running_ = false;
 };
 
 }  // namespace finchrun::core
--- a/src/core/ids.hpp
+++ b/src/core/ids.hpp
@@ -1,5 +1,4 @@
-// Strong ids: names from the outside are mapped to dense indices at the door, and everything within works on
-// those.
+// Strong ids: external names are mapped to dense indices on input, and all other code uses the indices.
 #pragma once
 
 #include <compare>
@@ -14,7 +13,7 @@
 
 namespace finchrun::core {
 
-/// A dense index of one kind: ids of different kinds can't be mixed up.
+/// A dense index of one kind. Ids of different kinds are different types.
 template <class Tag>
 struct Id {
   static constexpr std::uint32_t kNone = std::numeric_limits<std::uint32_t>::max();
@@ -37,7 +36,7 @@
 template <class IdT>
 class Interner {
  public:
-  /// The name's id, a new one if it has none.
+  /// Returns the name's id, a new one if the name is new.
   IdT intern(std::string_view name) {
     if (auto it = index_.find(std::string(name)); it != index_.end()) return it->second;
     IdT id{static_cast<std::uint32_t>(names_.size())};
--- a/src/core/in_flight.hpp
+++ b/src/core/in_flight.hpp
@@ -1,4 +1,4 @@
-// How many of something bounded are under way: connections, requests.
+// Counts bounded work in flight, such as connections and requests.
 #pragma once
 
 #include <cstddef>
@@ -7,11 +7,11 @@
 
 namespace finchrun::core {
 
-/// A count of what is under way, shared with each of it: a coroutine that is destroyed with its event loop
-/// gives back its place after the counter's own object has gone.
+/// A count that is shared with its slots: a coroutine that is destroyed with its event loop may release its
+/// slot after the counter is gone.
 class InFlightCounter {
  public:
-  /// A place that is taken until this object is destroyed.
+  /// One unit of work, counted until this object is destroyed.
   class Place {
    public:
     explicit Place(std::shared_ptr<std::size_t> count) : count_(std::move(count)) { ++*count_; }
@@ -24,7 +24,7 @@
     Place& operator=(Place&&) = delete;
 
    private:
-    std::shared_ptr<std::size_t> count_;  // nothing once moved from
+    std::shared_ptr<std::size_t> count_;  // null once moved from
   };
 
   [[nodiscard]] std::size_t count() const { return *count_; }
--- a/src/core/json_impl.cpp
+++ b/src/core/json_impl.cpp
@@ -1,2 +1,2 @@
-// Boost.JSON, compiled into the library once.
+// Compiles Boost.JSON into the library once.
 #include <boost/json/src.hpp>
--- a/src/core/locked.hpp
+++ b/src/core/locked.hpp
@@ -1,4 +1,4 @@
-// Shared state behind a short lock: the state is reached only inside `with`, which cannot span a co_await.
+// Shared state behind a short lock: it is accessible only inside `with`, which cannot span a co_await.
 #pragma once
 
 #include <mutex>
@@ -6,14 +6,14 @@
 
 namespace finchrun::core {
 
-/// A value that is reached under its lock only.
+/// A value that is accessible only under its lock.
 template <class T>
 class Locked {
  public:
   template <class... Args>
   explicit Locked(Args&&... args) : value_(std::forward<Args>(args)...) {}
 
-  /// Calls `f` with the value, under the lock. What it returns must not refer into the value.
+  /// Calls `f` with the value, under the lock. The result must not refer to the value.
   template <class F>
   auto with(F&& f) {
     std::scoped_lock lock(mutex_);
--- a/src/core/resources.hpp
+++ b/src/core/resources.hpp
@@ -1,4 +1,4 @@
-// What a task takes of a machine and what a machine has.
+// Amounts of resources: the need of a task, or the size of a machine.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
   double gpus = 0;
   double ram_gb = 0;
 
-  // Amounts are decimal numbers: sums of fractions may miss a whole by rounding only.
+  // Tolerance for rounding errors in sums of decimal fractions.
   static constexpr double kSlack = 1e-6;
 
   Resources& operator+=(const Resources& other) {
@@ -24,11 +24,11 @@
     return *this;
   }
   friend Resources operator*(Resources a, double n) { return {a.cpus * n, a.gpus * n, a.ram_gb * n}; }
-  /// Does a task of this need fit into `free`?
+  /// True if a task with this need fits into `free`.
   [[nodiscard]] bool fits(const Resources& free) const {
     return cpus <= free.cpus + kSlack && gpus <= free.gpus + kSlack && ram_gb <= free.ram_gb + kSlack;
   }
-  /// How many tasks of this need fit into `free`; a million for a task that needs nothing.
+  /// Number of tasks with this need that fit into `free`, at most a million.
   [[nodiscard]] int times_in(const Resources& free) const {
     constexpr double kMostTasks = 1e6;
     double n = kMostTasks;
--- a/tests/core/in_flight_test.cpp
+++ b/tests/core/in_flight_test.cpp
@@ -7,7 +7,7 @@
 namespace finchrun::core {
 namespace {
 
-TEST(InFlightCounter, CountsPlacesUntilTheyAreDestroyed) {
+TEST(InFlightCounter, CountsSlotsUntilTheyAreDestroyed) {
   InFlightCounter counter;
   {
     const auto first = counter.take();
@@ -19,8 +19,8 @@
   EXPECT_EQ(counter.count(), 0u);
 }
 
-// As coroutines do that are destroyed with the event loop, after the component that started them.
-TEST(InFlightCounter, PlaceMayOutliveTheCounter) {
+// Coroutines that are destroyed with the event loop may outlive the component that started them.
+TEST(InFlightCounter, SlotMayOutliveCounter) {
   std::optional<InFlightCounter> counter(std::in_place);
   const auto place = counter->take();
   counter.reset();
