--- a/src/agent/heartbeat_handler.cpp
+++ b/src/agent/heartbeat_handler.cpp
@@ -54,7 +54,7 @@
 bool is_done(const state::StateCache& cache, const jobs::JobRecord& job, core::JobId id, std::uint32_t task) {
   if (job.spec.standing()) return false;
   bool done = false;
-  cache.each_run(id, [&](core::PartitionId, const jobs::JobAssignments& assignments) {
+  cache.for_each_assignments(id, [&](core::PartitionId, const jobs::JobAssignments& assignments) {
     done = done || assignments.done.contains(task);
   });
   return done;
@@ -112,7 +112,7 @@
   [[nodiscard]] bool has_outlived_lease() const {
     const double lease_with_drift_s = context_.lease_s * 1.05 + 1;
     return machine_.unreachable() && heartbeat_.agent_incarnation == machine_.agent_incarnation &&
-           core::since(machine_.unreachable_in_incarnation, context_.now) > lease_with_drift_s;
+           core::seconds_between(machine_.unreachable_in_incarnation, context_.now) > lease_with_drift_s;
   }
 
   void record_newest() {
@@ -181,7 +181,7 @@
                  status.task, status.attempt, machine_.name, name_of(status.cause), status.saved);
     if (status.cause == ExitCause::error || status.cause == ExitCause::unknown) record_failure(item.job);
     if (status.cause == ExitCause::no_room)
-      machine_.cordoned_until = context_.now + core::secs(kCordonWithoutRoomS);
+      machine_.cordoned_until = context_.now + core::to_duration(kCordonWithoutRoomS);
     if (status.cause == ExitCause::done) machine_.failed_jobs.clear();
   }
 
@@ -193,7 +193,7 @@
       spdlog::warn("machine quarantined machine={} failed_jobs={}", machine_.name,
                    machine_.failed_jobs.size());
     }
-    machine_.cordoned_until = context_.now + core::secs(kCordonAfterFailureS);
+    machine_.cordoned_until = context_.now + core::to_duration(kCordonAfterFailureS);
     context_.job_failures[job].record(machine_.id, context_.now);
   }
 
@@ -272,13 +272,13 @@
   constexpr double kLongestPauseS = 60;
   constexpr std::size_t kMostDoublings = 6;
   // A service meets many machines in its life; only failures that come together point at the job.
-  if (core::since(last_failure, now) > kForgottenAfterS) machines.clear();
+  if (core::seconds_between(last_failure, now) > kForgottenAfterS) machines.clear();
   last_failure = now;
   machines.insert(machine);
   ++failures;
   if (machines.size() < 2) return;
   const auto doubled = 1 << std::min(machines.size(), kMostDoublings);
-  retry_at = now + core::secs(std::min(kLongestPauseS, 2.0 * static_cast<double>(doubled)));
+  retry_at = now + core::to_duration(std::min(kLongestPauseS, 2.0 * static_cast<double>(doubled)));
 }
 
 bool gang_broken(const jobs::JobRecord& job, const state::StateCache& cache, const Fleet& fleet,
@@ -286,7 +286,7 @@
   if (!job.spec.gang()) return false;
   std::size_t placed = 0;
   bool lost = false;
-  cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
+  cache.for_each_assignments(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
     placed += run.assignments.size();
     for (const auto& assignment : run.assignments)
       lost =
--- a/src/assignments/assignment_writer.cpp
+++ b/src/assignments/assignment_writer.cpp
@@ -77,7 +77,7 @@
 bool AssignmentWriter::record_exit(const agent::ObservedExit& exit) {
   const auto item = tombstone_of(exit, state_.cache.job(exit.job));
   for (const auto& held : state_.cache.shard_assignments(exit.job)) {
-    if (held.partition != partition_ || !has_attempt(held.run, exit)) continue;
+    if (held.partition != partition_ || !has_attempt(held.job_assignments, exit)) continue;
     const auto& name = state_.cache.shard(held.shard).name;
     auto* shard = shards_.find(name);
     if (!shard) return add_tombstone(name, exit.job, item);
@@ -109,12 +109,12 @@
   std::uint32_t done = shards_.done(job);
   for (const auto& held : state_.cache.shard_assignments(job)) {
     if (held.partition != partition_) {
-      done += held.run.done.size();
+      done += held.job_assignments.done.size();
       continue;
     }
     const auto& name = state_.cache.shard(held.shard).name;
     if (shards_.contains(name)) continue;  // counted as it will be
-    auto run = held.run;
+    auto run = held.job_assignments;
     tombstones_.apply_to(name, job, run);
     done += run.done.size();
   }
@@ -123,7 +123,7 @@
 
 void AssignmentWriter::finish(PlannedTransaction& transaction) const {
   const auto& partition = state_.names.partitions.name(partition_);
-  transaction.require(state::keys::partition(partition), state_.fencing_token(partition_));
+  transaction.require(state::keys::leadership(partition), state_.fencing_token(partition_));
   transaction.require(state::keys::fence(partition), state_.cache.fence(partition_));
   shards_.write_to(transaction);
   tombstones_.write_to(transaction);
--- a/src/assignments/exit_plan.cpp
+++ b/src/assignments/exit_plan.cpp
@@ -29,7 +29,7 @@
   for (const auto& exit : state.fleet.observed_exits)
     if (exit.partition == partition && writer.record_exit(exit) && exit.done)
       with_done_tasks.insert(exit.job);
-  state.cache.each_run([&](core::JobId job, core::PartitionId held_by, const jobs::JobAssignments& held) {
+  state.cache.for_each_assignments([&](core::JobId job, core::PartitionId held_by, const jobs::JobAssignments& held) {
     if (held_by == partition && held.done.size() > 0) with_done_tasks.insert(job);
   });
   return with_done_tasks;
@@ -81,7 +81,7 @@
     if (!completes(state, writer, job)) continue;
     if (transaction.writes.size() >= limits.max_writes()) break;
     if (transaction.compares.size() + kComparesPerJob > limits.max_compares()) break;
-    transaction.require(state::keys::partition(state.names.partitions.name(partition)),
+    transaction.require(state::keys::leadership(state.names.partitions.name(partition)),
                         state.fencing_token(partition));
     finish_job(state, job, transaction);
   }
--- a/src/assignments/exit_recorder.cpp
+++ b/src/assignments/exit_recorder.cpp
@@ -30,7 +30,7 @@
   auto planned = plan();
   for (auto& [partition, transaction] : planned) {
     const auto writes = static_cast<int>(transaction.writes.size());
-    if (!store_.spend(writes, state::KeyValueStore::For::records)) co_return;  // the rest in the next flush
+    if (!store_.try_spend_writes(writes, state::KeyValueStore::WritePurpose::records)) co_return;  // the rest in the next flush
     // Named: GCC 12 destroys aggregates twice that are temporaries of a co_await.
     state::Transaction commit{transaction.compares, std::move(transaction.writes)};
     const auto result = co_await follower_.commit(std::move(commit));
@@ -40,7 +40,7 @@
     }
     log_refusal("exits not recorded", partition, result);
     // The exits stay observed, so the next flush tries again on what the next read of the changes shows.
-    follower_.wake();
+    follower_.request_read();
     if (result.outcome != CommitStatus::conflict) co_return;
   }
 }
--- a/src/assignments/open_shards.cpp
+++ b/src/assignments/open_shards.cpp
@@ -19,7 +19,7 @@
   ShardContents contents;
   const auto& shard = state_.cache.shard(id);
   for (const auto job_id : shard.jobs) {
-    const auto* stored = state_.cache.run(job_id, id);
+    const auto* stored = state_.cache.find_assignments(job_id, id);
     const auto* job = state_.cache.job(job_id);
     const bool over = job && job->status != jobs::Status::live;
     if (!stored || (over && stored->assignments.empty())) continue;
@@ -67,7 +67,7 @@
 bool OpenShards::may_hold(const std::string& name, core::JobId job) const {
   if (!tombstones_.too_long() || !state_.cache.tombstones(partition_).of(name).contains(job)) return true;
   const auto shard = state_.cache.find_shard(partition_, name);
-  return shard && state_.cache.run(job, *shard);
+  return shard && state_.cache.find_assignments(job, *shard);
 }
 
 OpenShard* OpenShards::with_room(core::JobId job, std::size_t bytes) {
--- a/src/assignments/placement_plan.cpp
+++ b/src/assignments/placement_plan.cpp
@@ -30,7 +30,7 @@
   transaction.require(state::keys::job(state.names.jobs.name(id)), job.revision);
   // The partition's quota share is what we think it is: it is lowered, by giving, only through this key.
   const auto team = job.spec.team;
-  transaction.require(state::keys::team(state.names.teams.name(team)), state.cache.team(team).revision);
+  transaction.require(state::keys::quota(state.names.teams.name(team)), state.cache.quota(team).revision);
 }
 
 void start_when_durable(const ControllerState& state, const PlannedPlacement& placement,
--- a/src/assignments/placement_recorder.cpp
+++ b/src/assignments/placement_recorder.cpp
@@ -19,7 +19,7 @@
   std::optional<core::TimePoint> retry_at;
   // The earliest of the moments counts.
   const auto retry = [&] {
-    if (!retry_at) retry_at = core::Steady::now() + core::secs(kRetryAfterS);
+    if (!retry_at) retry_at = core::SteadyClock::now() + core::to_duration(kRetryAfterS);
   };
   for (std::size_t next = 0; next < placements.size();) {
     auto batch = state_.with(
@@ -27,7 +27,7 @@
     next = batch.next;
     auto& transaction = batch.transaction;
     if (transaction.writes.empty()) continue;
-    if (!store_.spend(static_cast<int>(transaction.writes.size()), state::KeyValueStore::For::records)) {
+    if (!store_.try_spend_writes(static_cast<int>(transaction.writes.size()), state::KeyValueStore::WritePurpose::records)) {
       retry();
       co_return retry_at;
     }
@@ -42,7 +42,7 @@
     log_refusal("placements not recorded", batch.partition, result);
     // Try again as soon as the next read of the changes has shown what is different.
     retry();
-    follower_.wake();
+    follower_.request_read();
     if (result.outcome != CommitStatus::unknown) continue;
     fences_.require_new(transaction.compares);
     co_return retry_at;
--- a/src/assignments/shard_shrinker.cpp
+++ b/src/assignments/shard_shrinker.cpp
@@ -16,7 +16,7 @@
   const auto jobs = shards_.contents(shard);
   // A controller of an earlier version takes tombstones into a shard for good, whichever it reads first: what
   // is done would count twice for it if it had moved to another shard meanwhile.
-  const bool done_may_move = state_.all_controllers_know(state::kTombstonesInAnyOrder);
+  const bool done_may_move = state_.all_controllers_know(state::kUnorderedTombstonesLevel);
   SplitRules rules;
   rules.max_bytes = state_.settings.state_limits.value_bytes();
   if (!done_may_move)
--- a/src/assignments/write_fences.cpp
+++ b/src/assignments/write_fences.cpp
@@ -31,8 +31,8 @@
     if (!state.fence_due[p] || !state.leads(partition)) continue;
     const auto& name = state.names.partitions.name(partition);
     FenceMove move{partition, {}};
-    move.transaction.compares.push_back({state::keys::partition(name), state.fencing_token(partition)});
-    move.transaction.writes.push_back({state::keys::fence(name), state::encode_fence(state.cache.newest())});
+    move.transaction.compares.push_back({state::keys::leadership(name), state.fencing_token(partition)});
+    move.transaction.writes.push_back({state::keys::fence(name), state::encode_fence(state.cache.newest_revision())});
     moves.push_back(std::move(move));
   }
   return moves;
@@ -59,7 +59,7 @@
     return plan_fence_moves(state);
   });
   for (auto& move : moves) {
-    if (!store_.spend(1, state::KeyValueStore::For::records)) co_return;
+    if (!store_.try_spend_writes(1, state::KeyValueStore::WritePurpose::records)) co_return;
     const auto result = co_await follower_.commit(std::move(move.transaction));
     const bool moved = result.outcome == CommitStatus::done;
     const auto partition = state_.with([&](ControllerState& state) {
@@ -74,7 +74,7 @@
       continue;
     }
     spdlog::info("fence moved partition={} revision={}", partition, result.revision);
-    follower_.wake();
+    follower_.request_read();
   }
 }
 
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -30,7 +30,7 @@
   machine.spot = listed.spot;
   if (!listed.endpoint.empty()) machine.endpoint = listed.endpoint;
   if (listed.status == "starting" && machine.status != "starting")
-    machine.starting_since = now - core::secs(listed.held_s);
+    machine.starting_since = now - core::to_duration(listed.held_s);
   machine.status = listed.status;
 }
 
@@ -40,13 +40,13 @@
   std::erase_if(state.fleet.all(), [&](const auto& item) {
     const auto& [id, machine] = item;
     return !machine.listed && state.cache.on_machine(id).empty() &&
-           core::since(machine.first_seen, now) > kept_s && core::since(machine.last_heartbeat, now) > kept_s;
+           core::seconds_between(machine.first_seen, now) > kept_s && core::seconds_between(machine.last_heartbeat, now) > kept_s;
   });
 }
 
 /// Brings the fleet in line with the machines that records of our partitions name.
 void reconcile_recorded_machines(ControllerState& state, core::TimePoint now) {
-  state.cache.each_named_machine(
+  state.cache.for_each_assigned_machine(
       [&](core::MachineId id, const std::vector<state::MachineAssignment>& assignments) {
         const auto partition = assignments.front().partition;
         if (!state.leads(partition)) return;
@@ -79,7 +79,7 @@
 asio::awaitable<void> Autoscaler::run() {
   core::TimePoint next_list{}, next_machine_types{}, next_scale_out{};
   while (true) {
-    const auto now = core::Steady::now();
+    const auto now = core::SteadyClock::now();
     if (now >= next_machine_types) {
       co_await refresh_machine_types();
       const bool known =
@@ -115,7 +115,7 @@
   const auto answer = co_await cloud_.machines();
   const auto* list = std::get_if<std::vector<cloud::ListedMachine>>(&answer);
   if (!list) co_return;
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   state_.with([&](ControllerState& state) {
     for (auto& [_, machine] : state.fleet.all()) machine.listed = false;
     for (const auto& listed : *list) apply_listed(state, listed, now);
@@ -124,7 +124,7 @@
 }
 
 asio::awaitable<void> Autoscaler::scale_in() {
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   const auto decisions = state_.with([&](ControllerState& state) {
     if (!is_current(state, now)) return std::vector<ScaleInDecision>{};
     reconcile_recorded_machines(state, now);
@@ -162,7 +162,7 @@
 }
 
 asio::awaitable<void> Autoscaler::scale_out() {
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   const auto rental = next_rental(now);
   if (!rental) co_return;
   const auto& kind = rental->kind;
@@ -193,7 +193,7 @@
       machine.partition = state.partitions.partition_of(name, machine.zone).value_or(core::PartitionId{});
       machine.spot = kind.spot;
       machine.status = "starting";
-      machine.first_seen = machine.starting_since = core::Steady::now();
+      machine.first_seen = machine.starting_since = core::SteadyClock::now();
     }
   });
 }
--- a/src/autoscaling/scale_in_plan.cpp
+++ b/src/autoscaling/scale_in_plan.cpp
@@ -57,7 +57,7 @@
 bool never_came_up(const ControllerState& state, const Machine& machine, core::TimePoint now) {
   const auto* type = state.fleet.machine_type(machine.type);
   return machine.listed && machine.status == "starting" && type &&
-         core::since(machine.starting_since, now) > 5 * type->boot_s + 30;
+         core::seconds_between(machine.starting_since, now) > 5 * type->boot_s + 30;
 }
 
 /// Its heartbeats come and nothing of ours arrives: its lease has run out, and again, with us answering. A
@@ -66,7 +66,7 @@
                     core::TimePoint now) {
   const double lease_s = state.settings.lease_s;
   return machine.unreachable() && silent_s < lease_s &&
-         core::since(*machine.unreachable_since, now) > 2 * lease_s + 15;
+         core::seconds_between(*machine.unreachable_since, now) > 2 * lease_s + 15;
 }
 
 std::optional<ScaleInReason> reason_to_return(const ControllerState& state, const Machine& machine,
@@ -82,7 +82,7 @@
   if (never_came_up(state, machine, now)) return ScaleInReason::never_came_up;
   if (machine.quarantined && !in_use) return ScaleInReason::quarantined;
   if (is_unreachable(state, machine, silent_s, now)) return ScaleInReason::unreachable;
-  if (machine.has_heartbeat && !in_use && core::since(machine.idle_since, now) > state.tuning.idle_return_s)
+  if (machine.has_heartbeat && !in_use && core::seconds_between(machine.idle_since, now) > state.tuning.idle_return_s)
     return ScaleInReason::idle;
   return std::nullopt;
 }
@@ -111,7 +111,7 @@
 
 bool is_current(const ControllerState& state, core::TimePoint now) {
   constexpr double kOldestReadS = 1.5;
-  return core::since(state.synchronized_at, now) <= kOldestReadS;
+  return core::seconds_between(state.synchronized_at, now) <= kOldestReadS;
 }
 
 std::vector<ScaleInDecision> plan_scale_in(const ControllerState& state, core::TimePoint now) {
--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -32,7 +32,7 @@
 bool is_boot_overdue(const Machine& machine, const MachineType& type, core::TimePoint now) {
   constexpr double kBootsWaitedFor = 2;  // usual boots take up to 1.5 times the type's boot time
   const auto starting_since = machine.status == "starting" ? machine.starting_since : machine.first_seen;
-  return core::since(starting_since, now) > kBootsWaitedFor * type.boot_s;
+  return core::seconds_between(starting_since, now) > kBootsWaitedFor * type.boot_s;
 }
 
 /// Orders kinds by their names joined with `|`: of several kinds that are needed equally, the first in this
@@ -116,7 +116,7 @@
                                    std::uint32_t waiting) {
     const auto& demand = item.demand;
     const auto takes = [&](const Room& room) {
-      return room.partition == item.partition && demand.need.fits(room.free) && (!room.spot || demand.spot) &&
+      return room.partition == item.partition && demand.need.fits_in(room.free) && (!room.spot || demand.spot) &&
              jobs::type_allowed(demand.types, room.type);
     };
     std::uint32_t filled = 0;
@@ -142,7 +142,7 @@
       const auto& type = state_.fleet.machine_types[i];
       if (!jobs::type_allowed(demand.types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
         continue;
-      if (!demand.need.fits(type.size)) continue;
+      if (!demand.need.fits_in(type.size)) continue;
       if (!backoff_.backing_off({type.name, zone, false}, now_)) return true;
     }
     return false;
@@ -153,7 +153,7 @@
     std::uint32_t filled = 0;
     for (auto& room : spare_spot_) {
       if (room.partition != item.partition) continue;
-      for (; filled < waiting && item.demand.need.fits(room.free); ++filled) room.free -= item.demand.need;
+      for (; filled < waiting && item.demand.need.fits_in(room.free); ++filled) room.free -= item.demand.need;
     }
     return filled;
   }
@@ -165,7 +165,7 @@
       const auto& type = state_.fleet.machine_types[i];
       if (!jobs::type_allowed(demand.types, state_.fleet.machine_type_ids[i]) || !offered_in(type, zone))
         continue;
-      const int tasks_per_machine = demand.need.times_in(type.size);
+      const int tasks_per_machine = demand.need.max_copies_in(type.size);
       if (tasks_per_machine < 1) continue;
       for (const bool spot : {false, true}) {
         if (spot && !spot_too) continue;
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -141,16 +141,16 @@
 Cloud::Cloud(http::Network& network, const config::Settings& s)
     : client_(network.connect(s.cloud, 2)),
       rate_(s.cloud_rps / s.nodes),
-      rate_limiter_(rate_, std::max(2.0, 2 * rate_), core::Steady::now()) {}
+      rate_limiter_(rate_, std::max(2.0, 2 * rate_), core::SteadyClock::now()) {}
 
 asio::awaitable<http::Answer> Cloud::call(http::Verb verb, std::string target, std::string body) {
-  if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::Answer{429, {}};
+  if (!rate_limiter_.try_take(1, 0, core::SteadyClock::now())) co_return http::Answer{429, {}};
   co_return co_await client_->call(verb, std::move(target), std::move(body), kAnswerWithin);
 }
 
 asio::awaitable<void> Cloud::wait_for_turn() {
-  while (!rate_limiter_.take(1, 0, core::Steady::now())) {
-    core::Timer timer(co_await asio::this_coro::executor, core::secs(0.5 / rate_));
+  while (!rate_limiter_.try_take(1, 0, core::SteadyClock::now())) {
+    core::Timer timer(co_await asio::this_coro::executor, core::to_duration(0.5 / rate_));
     boost::system::error_code ec;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -87,18 +87,18 @@
 
 bool ControllerState::leads(core::PartitionId partition) const {
   return holds_leadership(partition) && cache.revision() >= cache.leadership(partition).revision &&
-         cache.readable(partition);
+         cache.is_readable(partition);
 }
 
 bool ControllerState::all_members_know(std::uint64_t level) const {
   const auto& members = cache.members();
   return !members.empty() && std::all_of(members.begin(), members.end(),
-                                         [&](const auto& member) { return member.second.level >= level; });
+                                         [&](const auto& member) { return member.second.record_level >= level; });
 }
 
 bool ControllerState::all_controllers_know(std::uint64_t level) const {
   return std::all_of(settings.members.begin(), settings.members.end(), [&](const config::Member& member) {
-    const auto last = cache.last_level(member.label);
+    const auto last = cache.last_record_level(member.label);
     return last && *last >= level;
   });
 }
@@ -113,12 +113,12 @@
 }
 
 bool ControllerState::may_renew_leases(core::TimePoint now) const {
-  return core::since(cancellations_known_at(now), now) < settings.renewal_window_s();
+  return core::seconds_between(cancellations_known_at(now), now) < settings.renewal_window_s();
 }
 
 double ControllerState::silent_s(const agent::Machine& machine, core::TimePoint now) const {
   const auto leader_since = leading_since.at(machine.partition.index);
-  return core::since(std::max({machine.last_heartbeat, machine.first_seen, leader_since}), now);
+  return core::seconds_between(std::max({machine.last_heartbeat, machine.first_seen, leader_since}), now);
 }
 
 bool ControllerState::usable(const agent::Machine& machine, core::TimePoint now) const {
@@ -128,7 +128,7 @@
     return false;
   // A new leader has its answers to the new fencing token before the agent comes by itself.
   const auto seen = std::max(machine.last_heartbeat, leading_since.at(machine.partition.index));
-  return core::since(seen, now) < kHeartbeatsMissed * settings.report_s + kHeartbeatDelayS;
+  return core::seconds_between(seen, now) < kHeartbeatsMissed * settings.report_s + kHeartbeatDelayS;
 }
 
 core::Resources ControllerState::used_on(core::MachineId id) const {
@@ -141,7 +141,7 @@
 
 agent::HeartbeatResult ControllerState::take(agent::Machine& machine, const wire::Heartbeat& heartbeat,
                                              core::TimePoint now, bool direct) {
-  const bool may_start = core::since(synchronized_at, now) < kMaxStateAgeToStartS;
+  const bool may_start = core::seconds_between(synchronized_at, now) < kMaxStateAgeToStartS;
   return agent::handle_heartbeat({names, cache, fleet, job_failures, fencing_token(machine.partition), now,
                                   settings.lease_s, may_start, direct},
                                  machine, heartbeat);
@@ -169,7 +169,7 @@
 void ControllerState::observe_job_classes() {
   job_classes.resize(names.job_classes.size());
   std::vector<double> unfinished(job_classes.size(), 0.0);
-  for (const auto id : cache.live()) {
+  for (const auto id : cache.live_jobs()) {
     const auto& spec = cache.job(id)->spec;
     auto& profile = job_classes[spec.job_class.index];
     profile.need = spec.need;
--- a/src/controller/quota_usage.cpp
+++ b/src/controller/quota_usage.cpp
@@ -21,7 +21,7 @@
 
 std::vector<core::JobId> oldest_first(const state::StateCache& cache) {
   std::vector<std::pair<double, core::JobId>> by_age;
-  for (const auto id : cache.live()) by_age.emplace_back(cache.job(id)->spec.submitted_s, id);
+  for (const auto id : cache.live_jobs()) by_age.emplace_back(cache.job(id)->spec.submitted_s, id);
   std::sort(by_age.begin(), by_age.end());
   std::vector<core::JobId> jobs;
   for (const auto& [_, id] : by_age) jobs.push_back(id);
@@ -31,8 +31,8 @@
 // `asked`: by the team's jobs up to the one that needs `need`, that one included.
 bool fits_guarantee(const config::Team& team, const core::Resources& need, const core::Resources& asked) {
   if (team.gpus <= 0 && team.cpus <= 0) return false;
-  const bool gpus_fit = team.gpus <= 0 ? need.gpus <= 0 : asked.gpus <= team.gpus + core::Resources::kSlack;
-  const bool cpus_fit = team.cpus <= 0 || asked.cpus <= team.cpus + core::Resources::kSlack;
+  const bool gpus_fit = team.gpus <= 0 ? need.gpus <= 0 : asked.gpus <= team.gpus + core::Resources::kRoundingTolerance;
+  const bool cpus_fit = team.cpus <= 0 || asked.cpus <= team.cpus + core::Resources::kRoundingTolerance;
   return gpus_fit && cpus_fit;
 }
 
@@ -40,7 +40,7 @@
 
 std::uint32_t unfinished_tasks(const state::StateCache& cache, core::JobId id) {
   const auto tasks = cache.job(id)->spec.tasks;
-  return tasks - std::min(tasks, cache.done(id));
+  return tasks - std::min(tasks, cache.done_tasks(id));
 }
 
 std::vector<std::vector<core::Resources>> used_by_partition(const config::Settings& settings,
@@ -48,7 +48,7 @@
                                                             const agent::Fleet& fleet) {
   std::vector<std::vector<core::Resources>> used(cache.partitions(),
                                                  std::vector<core::Resources>(settings.teams.size()));
-  cache.each_run([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
+  cache.for_each_assignments([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
     const auto* job = run.assignments.empty() ? nullptr : job_of_known_team(settings, cache, id);
     if (!job) return;
     used[partition.index][job->spec.team.index] +=
@@ -75,7 +75,7 @@
                                  core::TeamId team) {
   const auto& limits = settings.teams.at(team.index);
   ledger::QuotaShares shares({limits.cpus_max, limits.gpus_max, 0}, cache.partitions());
-  const auto& record = cache.team(team);
+  const auto& record = cache.quota(team);
   for (std::uint32_t p = 0; p < record.partitions.size(); ++p) {
     const auto& [share, requested] = record.partitions[p];
     shares.restore(core::PartitionId{p}, share, requested);
--- a/src/controller/runtime.cpp
+++ b/src/controller/runtime.cpp
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-core::Steady::duration Runtime::jitter(double seconds) {
+core::SteadyClock::duration Runtime::jitter(double seconds) {
   std::uniform_real_distribution<double> spread(0.8, 1.2);
-  return core::secs(seconds * spread(random_));
+  return core::to_duration(seconds * spread(random_));
 }
 
 asio::awaitable<void> Runtime::sleep(double seconds) {
@@ -49,7 +49,7 @@
 }
 
 asio::awaitable<void> Wakeup::wait(double seconds) {
-  timer_.expires_after(core::secs(seconds));
+  timer_.expires_after(core::to_duration(seconds));
   boost::system::error_code ec;
   co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
 }
--- a/src/controller/runtime.hpp
+++ b/src/controller/runtime.hpp
@@ -21,7 +21,7 @@
   [[nodiscard]] asio::io_context& io() { return io_; }
   /// Between 80% and 120% of `seconds`, evenly distributed, so that controllers don't act in step. Draws once
   /// from the seeded generator: simulations repeat only while the order of draws stays.
-  [[nodiscard]] core::Steady::duration jitter(double seconds);
+  [[nodiscard]] core::SteadyClock::duration jitter(double seconds);
   /// Waits for `jitter(seconds)`, drawn when the wait begins.
   asio::awaitable<void> sleep(double seconds);
   /// Starts a loop that lasts as long as the process: one that throws is a bug, and ends the process with
--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership.cpp
@@ -49,13 +49,14 @@
   switch (partition.status) {
     case LeaderStatus::this_process:
       return partition.oldest_unanswered_start &&
-             core::since(*partition.oldest_unanswered_start, now) > kUnansweredStartLimitS;
+             core::seconds_between(*partition.oldest_unanswered_start, now) > kUnansweredStartLimitS;
     case LeaderStatus::earlier_process:
       return true;
     case LeaderStatus::alive:
       return false;
     case LeaderStatus::missing:
-      return core::since(partition.leader_missing_since, now) >= acquisition_wait_s(partition, snapshot);
+      return core::seconds_between(partition.leader_missing_since, now) >=
+             acquisition_wait_s(partition, snapshot);
   }
   return false;
 }
@@ -66,7 +67,8 @@
   for (const auto& label : partition.preference) {
     if (label == snapshot.label) break;
     const auto alive = snapshot.alive_since.find(label);
-    if (alive != snapshot.alive_since.end() && core::since(alive->second, now) > kAliveBeforeTransferS)
+    if (alive != snapshot.alive_since.end() &&
+        core::seconds_between(alive->second, now) > kAliveBeforeTransferS)
       return label;
   }
   return std::nullopt;
@@ -96,7 +98,7 @@
   const auto& label = state.settings.label;
   const auto* own_member = state.cache.member(label);
   if (!own_member || own_member->incarnation != state.incarnation) return std::nullopt;
-  const auto key = state::keys::partition(state.names.partitions.name(decision.partition));
+  const auto key = state::keys::leadership(state.names.partitions.name(decision.partition));
   state::Transaction transaction;
   transaction.compares.push_back({key, state.cache.leadership(decision.partition).revision});
   transaction.compares.push_back({state::keys::member(label), own_member->revision});
@@ -112,7 +114,7 @@
                                                        const TransferLeadership& decision) {
   const auto* successor = state.cache.member(decision.to);
   if (!successor || !state.holds_leadership(decision.partition)) return std::nullopt;
-  const auto key = state::keys::partition(state.names.partitions.name(decision.partition));
+  const auto key = state::keys::leadership(state.names.partitions.name(decision.partition));
   state::Transaction transaction;
   transaction.compares.push_back({key, state.cache.leadership(decision.partition).revision});
   transaction.compares.push_back({state::keys::member(decision.to), successor->revision});
@@ -141,7 +143,7 @@
 
 std::optional<LeadershipSnapshot> Leadership::take_snapshot(ControllerState& state, core::TimePoint now) {
   if (!state.loaded || state.incarnation == 0 || state.store_lease == 0) return std::nullopt;
-  if (core::since(state.synchronized_at, now) > kMaxViewAgeS) return std::nullopt;
+  if (core::seconds_between(state.synchronized_at, now) > kMaxViewAgeS) return std::nullopt;
   for (const auto& member : state.settings.members) {
     if (state.alive(member.label)) {
       alive_since_.try_emplace(member.label, now);
@@ -160,7 +162,7 @@
     const auto unanswered =
         status == LeaderStatus::this_process ? oldest_unanswered_start(state, partition) : std::nullopt;
     snapshot.partitions.push_back({partition, state.cache.leadership(partition).leader, status, missing_since,
-                                   state.partitions.preference(partition), unanswered});
+                                   state.partitions.leader_preference(partition), unanswered});
   }
   return snapshot;
 }
@@ -176,7 +178,7 @@
   if (result.outcome == state::CommitStatus::done)
     spdlog::info("leadership acquired partition={} fencing_token={} from={}", partition, result.revision,
                  decision.from.empty() ? "-" : decision.from);
-  follower_.wake();
+  follower_.request_read();
 }
 
 asio::awaitable<void> Leadership::transfer(TransferLeadership decision) {
@@ -193,7 +195,7 @@
 asio::awaitable<void> Leadership::run() {
   while (true) {
     co_await runtime_.sleep(kDecisionIntervalS);
-    const auto now = core::Steady::now();
+    const auto now = core::SteadyClock::now();
     const auto snapshot = state_.with([&](ControllerState& state) { return take_snapshot(state, now); });
     if (!snapshot) continue;
     const auto decisions = decide_leadership(*snapshot, now);
--- a/src/coordination/leadership.hpp
+++ b/src/coordination/leadership.hpp
@@ -63,8 +63,8 @@
   std::vector<TransferLeadership> transfers;
 };
 
-/// Decides what this controller should do about each partition now. Two controllers may decide to acquire
-/// the same partition at once; the compare-and-swap lets only one succeed.
+/// Decides what this controller should do about each partition now, without side effects. Two controllers
+/// may decide to acquire the same partition at once; the compare-and-swap lets only one succeed.
 LeadershipDecisions decide_leadership(const LeadershipSnapshot& snapshot, core::TimePoint now);
 
 /// Acquires partitions whose leader has lost its membership, and transfers leadership back to a partition's
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -56,7 +56,7 @@
   });
   spdlog::info("membership joined label={} incarnation={} store_lease={}", settings_.label, incarnation,
                store_lease);
-  follower_.wake();
+  follower_.request_read();
   co_return true;
 }
 
--- a/src/coordination/peer_service.cpp
+++ b/src/coordination/peer_service.cpp
@@ -46,7 +46,7 @@
 // Returns the cancellations that the sender of a ping may lack after reading everything up to `revision`.
 std::string pong_frame(const ControllerState& state, std::uint64_t revision) {
   peer::Pong pong;
-  pong.state_age_s = core::since(state.synchronized_at, core::Steady::now());
+  pong.state_age_s = core::seconds_between(state.synchronized_at, core::SteadyClock::now());
   const auto cancelled = state.cache.cancelled_after(revision);
   // While the state cache is reloaded, it may lack cancellations that this controller has confirmed.
   pong.complete = state.loaded && cancelled.has_value();
@@ -84,14 +84,14 @@
 }
 
 asio::awaitable<void> PeerService::ping(std::size_t peer) {
-  const auto sent = core::Steady::now();
+  const auto sent = core::SteadyClock::now();
   const auto revision = state_.with([](ControllerState& state) { return state.cache.revision(); });
   std::string request = ping_frame(settings_.label, revision);
   const auto frame = co_await peers_.link(peer).call(std::move(request), kCallTimeout);
   const auto pong = peer::decode_answer<peer::Pong>(frame);
   update_reachability(peer, pong ? Reachability::reachable : Reachability::unreachable);
   if (!pong) co_return;
-  peers_.heard(peer, core::Steady::now(), sent - core::secs(pong->state_age_s));
+  peers_.record_answer(peer, core::SteadyClock::now(), sent - core::to_duration(pong->state_age_s));
   state_.with([&](ControllerState& state) { apply_pong(state, peer, *pong, sent); });
 }
 
@@ -153,7 +153,7 @@
 }
 
 asio::awaitable<void> PeerService::announce(std::size_t peer, std::string frame) {
-  const auto place = announcements_.take();
+  const auto slot = announcements_.acquire();
   co_await peers_.link(peer).call(std::move(frame), kCallTimeout);
 }
 
--- a/src/coordination/peer_table.cpp
+++ b/src/coordination/peer_table.cpp
@@ -15,26 +15,26 @@
 
 }  // namespace
 
-void PeerTable::heard(std::size_t peer, core::TimePoint now, core::TimePoint state_seen_at) {
+void PeerTable::record_answer(std::size_t peer, core::TimePoint now, core::TimePoint state_seen_at) {
   answered_at_.at(peer) = now;
   state_seen_at_.at(peer) = std::max(state_seen_at_.at(peer), state_seen_at);
 }
 
-std::optional<std::size_t> PeerTable::in_touch_with_store() const {
-  const auto now = core::Steady::now();
+std::optional<std::size_t> PeerTable::find_peer_with_fresh_state() const {
+  const auto now = core::SteadyClock::now();
   for (std::size_t peer = 0; peer < links_.size(); ++peer)
-    if (core::since(state_seen_at_[peer], now) < kMaxStateAgeS) return peer;
+    if (core::seconds_between(state_seen_at_[peer], now) < kMaxStateAgeS) return peer;
   return std::nullopt;
 }
 
-bool PeerTable::any_heard_within(double seconds, core::TimePoint now) const {
+bool PeerTable::any_answered_within(double seconds, core::TimePoint now) const {
   return std::any_of(answered_at_.begin(), answered_at_.end(),
-                     [&](core::TimePoint heard) { return core::since(heard, now) < seconds; });
+                     [&](core::TimePoint heard) { return core::seconds_between(heard, now) < seconds; });
 }
 
 asio::awaitable<http::Answer> PeerRelay::call(http::Verb verb, std::string target, std::string body,
                                               std::chrono::milliseconds limit) {
-  const auto peer = peers_.in_touch_with_store();
+  const auto peer = peers_.find_peer_with_fresh_state();
   if (!peer) {
     http::Answer not_sent;
     not_sent.status = http::status::kServiceUnavailable;
--- a/src/coordination/peer_table.hpp
+++ b/src/coordination/peer_table.hpp
@@ -25,12 +25,12 @@
   [[nodiscard]] peer::Link& link(std::size_t peer) { return *links_.at(peer); }
   /// Records that the peer answered at `now`, and that its view of the key-value store is at least as new as
   /// `state_seen_at`.
-  void heard(std::size_t peer, core::TimePoint now, core::TimePoint state_seen_at);
+  void record_answer(std::size_t peer, core::TimePoint now, core::TimePoint state_seen_at);
   /// Returns the first peer whose view of the key-value store is less than 2 s old, so that it can relay
   /// requests. The age counts from when the peer was asked.
-  [[nodiscard]] std::optional<std::size_t> in_touch_with_store() const;
+  [[nodiscard]] std::optional<std::size_t> find_peer_with_fresh_state() const;
   /// True if some peer has answered within the last `seconds`.
-  [[nodiscard]] bool any_heard_within(double seconds, core::TimePoint now) const;
+  [[nodiscard]] bool any_answered_within(double seconds, core::TimePoint now) const;
 
  private:
   std::vector<std::unique_ptr<peer::Link>> links_;
--- a/src/coordination/state_follower.cpp
+++ b/src/coordination/state_follower.cpp
@@ -27,7 +27,7 @@
 bool needs_full_load(bool loaded_once, core::TimePoint synchronized_at, core::TimePoint now) {
   constexpr double kMaxGapS = 8;
   if (!loaded_once) return true;
-  return synchronized_at != core::TimePoint{} && core::since(synchronized_at, now) > kMaxGapS;
+  return synchronized_at != core::TimePoint{} && core::seconds_between(synchronized_at, now) > kMaxGapS;
 }
 
 asio::awaitable<bool> StateFollower::load_all() {
@@ -64,7 +64,7 @@
   bool loaded_once = false;
   while (true) {
     const auto synchronized_at = state_.with([](ControllerState& state) { return state.synchronized_at; });
-    if (needs_full_load(loaded_once, synchronized_at, core::Steady::now())) {
+    if (needs_full_load(loaded_once, synchronized_at, core::SteadyClock::now())) {
       if (!co_await load_all()) {
         co_await runtime_.sleep(kLoadRetryS);
         continue;
@@ -82,7 +82,7 @@
 
 asio::awaitable<StateFollower::ReadOutcome> StateFollower::read_changes() {
   const auto from = state_.with([](ControllerState& state) { return state.cache.revision(); });
-  const auto sent = core::Steady::now();
+  const auto sent = core::SteadyClock::now();
   const auto result = co_await store_.changes(from);
   if (const auto* error = std::get_if<state::StoreError>(&result)) {
     if (*error != state::StoreError::revision_too_old) {
@@ -130,9 +130,9 @@
   constexpr std::size_t kMaxWaiters = 2000;
   if (waiters_.size() >= kMaxWaiters) co_return false;
   auto waiter =
-      std::make_shared<Waiter>(Waiter{core::Steady::now(), false, core::Timer(runtime_.io(), deadline)});
+      std::make_shared<Waiter>(Waiter{core::SteadyClock::now(), false, core::Timer(runtime_.io(), deadline)});
   waiters_.push_back(waiter);
-  wake();
+  request_read();
   boost::system::error_code error;
   co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
   if (!waiter->served) waiters_.remove(waiter);
--- a/src/coordination/state_follower.hpp
+++ b/src/coordination/state_follower.hpp
@@ -39,7 +39,7 @@
   /// Commits, and applies the committed writes to the cache at once.
   asio::awaitable<state::CommitResult> commit(state::Transaction transaction);
   /// Starts the next read as soon as the minimum interval between reads allows.
-  void wake() { wakeup_.notify(); }
+  void request_read() { wakeup_.notify(); }
 
  private:
   // A linearizable read that is in flight.
@@ -53,8 +53,8 @@
   // Reads all records into the cache. Returns false if a page failed; the cache is unchanged then.
   asio::awaitable<bool> load_all();
   asio::awaitable<ReadOutcome> read_changes();
-  // Waits for the minimum interval between reads, then for `wake` or the maximum interval, so that many
-  // callers share a read.
+  // Waits for the minimum interval between reads, then for `request_read` or the maximum interval, so that
+  // many callers share a read.
   asio::awaitable<void> pause_after(ReadOutcome read);
   void complete_waiters(core::TimePoint read_sent);
 
--- a/src/core/clock.cpp
+++ b/src/core/clock.cpp
@@ -6,25 +6,26 @@
 namespace {
 
 std::atomic<bool> is_simulated{false};
-std::atomic<Steady::rep> simulated_time{0};
+std::atomic<SteadyClock::rep> simulated_time{0};
 
 }  // namespace
 
-Steady::time_point Steady::now() noexcept {
+SteadyClock::time_point SteadyClock::now() noexcept {
   if (is_simulated.load(std::memory_order_relaxed)) return time_point(duration(simulated_time.load()));
   return time_point(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-void Steady::simulate(std::optional<time_point> now) noexcept {
+void SteadyClock::simulate(std::optional<time_point> now) noexcept {
   if (now) simulated_time = now->time_since_epoch().count();
   is_simulated = now.has_value();
 }
 
-bool Steady::simulated() noexcept { return is_simulated.load(std::memory_order_relaxed); }
+bool SteadyClock::simulated() noexcept { return is_simulated.load(std::memory_order_relaxed); }
 
-double wall_s() {
+double unix_time_s() {
   constexpr double kSimulatedEpochS = 1.7e9;
-  if (Steady::simulated()) return kSimulatedEpochS + Seconds(Steady::now().time_since_epoch()).count();
+  if (SteadyClock::simulated())
+    return kSimulatedEpochS + Seconds(SteadyClock::now().time_since_epoch()).count();
   return Seconds(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
--- a/src/core/clock.hpp
+++ b/src/core/clock.hpp
@@ -9,11 +9,11 @@
 namespace finchrun::core {
 
 /// A steady clock, simulated in tests.
-struct Steady {
+struct SteadyClock {
   using duration = std::chrono::steady_clock::duration;
   using rep = duration::rep;
   using period = duration::period;
-  using time_point = std::chrono::time_point<Steady>;
+  using time_point = std::chrono::time_point<SteadyClock>;
   static constexpr bool is_steady = true;
 
   static time_point now() noexcept;
@@ -23,27 +23,27 @@
   static bool simulated() noexcept;
 };
 
-using TimePoint = Steady::time_point;
+using TimePoint = SteadyClock::time_point;
 using Seconds = std::chrono::duration<double>;
 
 /// Converts seconds to the clock's duration.
-inline Steady::duration secs(double seconds) {
-  return std::chrono::duration_cast<Steady::duration>(Seconds(seconds));
+inline SteadyClock::duration to_duration(double seconds) {
+  return std::chrono::duration_cast<SteadyClock::duration>(Seconds(seconds));
 }
 /// Seconds from `from` until `to`.
-inline double since(TimePoint from, TimePoint to) { return Seconds(to - from).count(); }
+inline double seconds_between(TimePoint from, TimePoint to) { return Seconds(to - from).count(); }
 /// Seconds since 1970, for users and records only: the time of day may jump.
-double wall_s();
+double unix_time_s();
 
 /// Under a simulated clock, a timer expires at the next poll of the event loop by its test.
 struct WaitTraits {
-  static Steady::duration to_wait_duration(const Steady::duration& d) {
-    return Steady::simulated() ? Steady::duration::zero() : d;
+  static SteadyClock::duration to_wait_duration(const SteadyClock::duration& d) {
+    return SteadyClock::simulated() ? SteadyClock::duration::zero() : d;
   }
-  static Steady::duration to_wait_duration(const TimePoint& t) {
-    return Steady::simulated() ? Steady::duration::zero() : t - Steady::now();
+  static SteadyClock::duration to_wait_duration(const TimePoint& t) {
+    return SteadyClock::simulated() ? SteadyClock::duration::zero() : t - SteadyClock::now();
   }
 };
-using Timer = boost::asio::basic_waitable_timer<Steady, WaitTraits>;
+using Timer = boost::asio::basic_waitable_timer<SteadyClock, WaitTraits>;
 
 }  // namespace finchrun::core
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -18,27 +18,27 @@
 };
 
 /// Closes sockets at their deadlines with one timer, which runs while there are any deadlines.
-class Deadlines : public std::enable_shared_from_this<Deadlines> {
+class SocketDeadlines : public std::enable_shared_from_this<SocketDeadlines> {
  public:
   /// `tick`: interval between checks, the precision of the deadlines.
-  Deadlines(const boost::asio::any_io_executor& executor, std::chrono::milliseconds tick)
+  SocketDeadlines(const boost::asio::any_io_executor& executor, std::chrono::milliseconds tick)
       : timer_(executor), tick_(tick) {}
 
   /// Closes the socket when its deadline has passed, to within a tick. Must not outlive the socket.
   class Guard {
    public:
-    Guard(std::shared_ptr<Deadlines> all, boost::asio::ip::tcp::socket& socket, TimePoint at)
-        : deadlines_(std::move(all)),
+    Guard(std::shared_ptr<SocketDeadlines> deadlines, boost::asio::ip::tcp::socket& socket, TimePoint at)
+        : deadlines_(std::move(deadlines)),
           entry_(deadlines_->entries_.insert(deadlines_->entries_.end(), {&socket, at})) {
       deadlines_->start_timer();
     }
     ~Guard() { deadlines_->entries_.erase(entry_); }
     Guard(const Guard&) = delete;
     Guard& operator=(const Guard&) = delete;
-    void move_to(TimePoint at) { entry_->at = at; }
+    void reset(TimePoint at) { entry_->at = at; }
 
    private:
-    std::shared_ptr<Deadlines> deadlines_;
+    std::shared_ptr<SocketDeadlines> deadlines_;
     std::list<Deadline>::iterator entry_;
   };
 
@@ -56,7 +56,7 @@
     });
   }
   void close_expired() {
-    const auto now = Steady::now();
+    const auto now = SteadyClock::now();
     for (auto& deadline : entries_) {
       if (deadline.at > now) continue;
       boost::system::error_code ignored;
--- a/src/core/in_flight.hpp
+++ b/src/core/in_flight.hpp
@@ -12,23 +12,23 @@
 class InFlightCounter {
  public:
   /// One unit of work, counted until this object is destroyed.
-  class Place {
+  class Slot {
    public:
-    explicit Place(std::shared_ptr<std::size_t> count) : count_(std::move(count)) { ++*count_; }
-    ~Place() {
+    explicit Slot(std::shared_ptr<std::size_t> count) : count_(std::move(count)) { ++*count_; }
+    ~Slot() {
       if (count_) --*count_;
     }
-    Place(Place&&) noexcept = default;
-    Place(const Place&) = delete;
-    Place& operator=(const Place&) = delete;
-    Place& operator=(Place&&) = delete;
+    Slot(Slot&&) noexcept = default;
+    Slot(const Slot&) = delete;
+    Slot& operator=(const Slot&) = delete;
+    Slot& operator=(Slot&&) = delete;
 
    private:
     std::shared_ptr<std::size_t> count_;  // null once moved from
   };
 
   [[nodiscard]] std::size_t count() const { return *count_; }
-  [[nodiscard]] Place take() { return Place(count_); }
+  [[nodiscard]] Slot acquire() { return Slot(count_); }
 
  private:
   std::shared_ptr<std::size_t> count_ = std::make_shared<std::size_t>(0);
--- a/src/core/resources.hpp
+++ b/src/core/resources.hpp
@@ -13,7 +13,7 @@
   double ram_gb = 0;
 
   // Tolerance for rounding errors in sums of decimal fractions.
-  static constexpr double kSlack = 1e-6;
+  static constexpr double kRoundingTolerance = 1e-6;
 
   Resources& operator+=(const Resources& other) {
     cpus += other.cpus, gpus += other.gpus, ram_gb += other.ram_gb;
@@ -23,19 +23,22 @@
     cpus -= other.cpus, gpus -= other.gpus, ram_gb -= other.ram_gb;
     return *this;
   }
-  friend Resources operator*(Resources a, double n) { return {a.cpus * n, a.gpus * n, a.ram_gb * n}; }
+  friend Resources operator*(Resources amount, double factor) {
+    return {amount.cpus * factor, amount.gpus * factor, amount.ram_gb * factor};
+  }
   /// True if a task with this need fits into `free`.
-  [[nodiscard]] bool fits(const Resources& free) const {
-    return cpus <= free.cpus + kSlack && gpus <= free.gpus + kSlack && ram_gb <= free.ram_gb + kSlack;
+  [[nodiscard]] bool fits_in(const Resources& free) const {
+    return cpus <= free.cpus + kRoundingTolerance && gpus <= free.gpus + kRoundingTolerance &&
+           ram_gb <= free.ram_gb + kRoundingTolerance;
   }
   /// Number of tasks with this need that fit into `free`, at most a million.
-  [[nodiscard]] int times_in(const Resources& free) const {
-    constexpr double kMostTasks = 1e6;
-    double n = kMostTasks;
-    if (cpus > 0) n = std::min(n, (free.cpus + kSlack) / cpus);
-    if (gpus > 0) n = std::min(n, (free.gpus + kSlack) / gpus);
-    if (ram_gb > 0) n = std::min(n, (free.ram_gb + kSlack) / ram_gb);
-    return n <= 0 ? 0 : static_cast<int>(n);
+  [[nodiscard]] int max_copies_in(const Resources& free) const {
+    constexpr double kMaxCopies = 1e6;
+    double copies = kMaxCopies;
+    if (cpus > 0) copies = std::min(copies, (free.cpus + kRoundingTolerance) / cpus);
+    if (gpus > 0) copies = std::min(copies, (free.gpus + kRoundingTolerance) / gpus);
+    if (ram_gb > 0) copies = std::min(copies, (free.ram_gb + kRoundingTolerance) / ram_gb);
+    return copies <= 0 ? 0 : static_cast<int>(copies);
   }
 };
 
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -19,7 +19,7 @@
   const auto& types = submission.types;
   for (const auto& machine_type : state.fleet.machine_types) {
     if (types && std::find(types->begin(), types->end(), machine_type.name) == types->end()) continue;
-    if (!submission.spec.need.fits(machine_type.size)) continue;
+    if (!submission.spec.need.fits_in(machine_type.size)) continue;
     for (const auto& zone : machine_type.zones)
       if (!submission.zone || zone == *submission.zone) zones.insert(zone);
   }
@@ -104,7 +104,7 @@
   if (state.find_job(submission.id)) return AlreadyKnown{};
   if (!state.loaded || state.fleet.machine_types.empty()) return NotReady{};
   if (const auto reason = why_never_runs(state, submission)) return NeverRuns{*reason};
-  if (submission.spec.standing() && !state.all_members_know(state::kStandingJobs))
+  if (submission.spec.standing() && !state.all_members_know(state::kServicesLevel))
     return TooEarlyForUpgrade{};
 
   const auto record = make_record(state, submission, now, wall_s);
--- a/src/gateway/agent_commands.cpp
+++ b/src/gateway/agent_commands.cpp
@@ -75,7 +75,7 @@
   const auto response = co_await client->call(http::Verb::post, "/do", std::move(body), kCommandTimeout);
   answer = interpret_answer(response);
   const bool changed = state_.with([&](ControllerState& state) {
-    return note_answer(state, machine, address->agent_incarnation, answer, core::Steady::now());
+    return note_answer(state, machine, address->agent_incarnation, answer, core::SteadyClock::now());
   });
   if (changed) writer_wakeup_.notify();
   co_return answer;
@@ -84,7 +84,7 @@
 asio::awaitable<void> AgentCommands::send(core::MachineId machine, std::vector<wire::Command> commands,
                                           std::vector<agent::TaskAttempt> starts) {
   const bool any = state_.with(
-      [&](ControllerState& state) { return prepare(state, machine, core::Steady::now(), commands, starts); });
+      [&](ControllerState& state) { return prepare(state, machine, core::SteadyClock::now(), commands, starts); });
   if (!any) co_return;
   const auto answer = co_await call(machine, std::move(commands));
   state_.with([&](ControllerState& state) {
@@ -97,7 +97,7 @@
 asio::awaitable<void> AgentCommands::run_probes() {
   while (true) {
     co_await runtime_.sleep(kProbeRoundS);
-    const auto now = core::Steady::now();
+    const auto now = core::SteadyClock::now();
     const auto machines = state_.with([&](ControllerState& state) {
       auto due = machines_to_probe(state, now);
       for (const auto id : due) {
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -51,7 +51,7 @@
   if (const auto* malformed = std::get_if<wire::Malformed>(&parsed))
     return error_response(http::status::kBadRequest, malformed->why);
   const auto& heartbeat = std::get<wire::Heartbeat>(parsed);
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   bool changed = false;
   auto response = state_.with([&](ControllerState& state) {
     const auto partition = partition_of(state, heartbeat);
@@ -82,7 +82,7 @@
   const auto parsed = wire::parse_heartbeat(body);
   const auto* heartbeat = std::get_if<wire::Heartbeat>(&parsed);
   if (!heartbeat) return std::nullopt;
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   return state_.with([&](ControllerState& state) -> std::optional<std::size_t> {
     const auto partition = partition_of(state, *heartbeat);
     if (!partition) return std::nullopt;
--- a/src/gateway/cancellation_stops.cpp
+++ b/src/gateway/cancellation_stops.cpp
@@ -13,7 +13,7 @@
   while (true) {
     co_await runtime_.sleep(kRoundS);
     auto stops = state_.with([&](ControllerState& state) {
-      auto due = take_due_stops(state, in_flight_.count(), core::Steady::now(),
+      auto due = take_due_stops(state, in_flight_.count(), core::SteadyClock::now(),
                                 [this](double seconds) { return runtime_.jitter(seconds); });
       for (const auto& [machine, commands] : due)
         spdlog::debug("tasks of cancelled jobs stopped machine={} tasks={}",
@@ -25,7 +25,7 @@
 }
 
 asio::awaitable<void> CancellationStops::stop(core::MachineId machine, std::vector<wire::Command> commands) {
-  const auto counted = in_flight_.take();
+  const auto counted = in_flight_.acquire();
   std::vector<agent::TaskAttempt> no_starts;
   co_await commands_.send(machine, std::move(commands), std::move(no_starts));
 }
--- a/src/gateway/direct_commands.cpp
+++ b/src/gateway/direct_commands.cpp
@@ -24,7 +24,7 @@
 bool starts_by_heartbeat_only(const agent::Machine& machine, core::TimePoint now) {
   constexpr double kDirectStartsPauseS = 20;
   return machine.direct_command_failed_at &&
-         core::since(*machine.direct_command_failed_at, now) < kDirectStartsPauseS;
+         core::seconds_between(*machine.direct_command_failed_at, now) < kDirectStartsPauseS;
 }
 
 // An agent that may be asked for its state: of a machine that we lead and that has not been given up.
@@ -105,7 +105,7 @@
         machine.has_heartbeat && machine.fencing_token >= state.fencing_token(machine.partition);
     if (obeys && !machine.unreachable() && !silent) continue;
     if (!machine.has_heartbeat && machine.status == "starting") continue;
-    if (core::since(machine.last_probe, now) < (obeys ? kProbePauseS : kUrgentProbePauseS)) continue;
+    if (core::seconds_between(machine.last_probe, now) < (obeys ? kProbePauseS : kUrgentProbePauseS)) continue;
     due.emplace_back(obeys, machine.last_probe, id);
   }
   std::sort(due.begin(), due.end());
--- a/src/gateway/due_stops.cpp
+++ b/src/gateway/due_stops.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 StopsByMachine take_due_stops(ControllerState& state, std::size_t in_flight, core::TimePoint now,
-                              const std::function<core::Steady::duration(double)>& jitter) {
+                              const std::function<core::SteadyClock::duration(double)>& jitter) {
   StopsByMachine stops;
   const auto take = [&](core::JobId job, const jobs::TaskAssignment& assignment) {
     auto& retry = state.fleet.stop_retries[{job, assignment.task, assignment.attempt}];
@@ -43,7 +43,7 @@
   std::erase_if(state.fleet.stop_retries,
                 [&](const auto& item) { return !cancelled.contains(std::get<core::JobId>(item.first)); });
   for (const auto job : cancelled)
-    state.cache.each_run(job, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
+    state.cache.for_each_assignments(job, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
       if (!state.leads(partition)) return;
       for (const auto& assignment : run.assignments)
         if (may_run(state, job, partition, assignment)) take(job, assignment);
--- a/src/gateway/due_stops.hpp
+++ b/src/gateway/due_stops.hpp
@@ -21,6 +21,6 @@
 /// that find `in_flight` machines too many are due again in the next round. `jitter` makes a pause of about
 /// so many seconds.
 StopsByMachine take_due_stops(controller::ControllerState& state, std::size_t in_flight, core::TimePoint now,
-                              const std::function<core::Steady::duration(double)>& jitter);
+                              const std::function<core::SteadyClock::duration(double)>& jitter);
 
 }  // namespace finchrun::gateway
--- a/src/gateway/heartbeat_routing.cpp
+++ b/src/gateway/heartbeat_routing.cpp
@@ -31,7 +31,7 @@
                              std::uint64_t leader_token, double heartbeat_interval_s, core::TimePoint now) {
   // An agent that was sent away, waits for its answer in vain and tries the others is back within this.
   const double back_within_s = 3 * heartbeat_interval_s + 8;
-  if (core::since(machine.redirected_at, now) < back_within_s) return Forwarding::relay_after_redirect;
+  if (core::seconds_between(machine.redirected_at, now) < back_within_s) return Forwarding::relay_after_redirect;
   // It obeys the leader's present fencing token and has come here all the same: it can't reach the leader any
   // more. Sent there once more, it waited for a second time-out, and a lease of 10 s ran out meanwhile. Yet
   // one that has only learnt the token from a direct command goes to the leader with its next heartbeat.
--- a/src/gateway/job_api.cpp
+++ b/src/gateway/job_api.cpp
@@ -39,16 +39,16 @@
     const auto& name = state.names.jobs.name(id);
     const auto* job = state.cache.job(id);
     if (!job)
-      return state.cache.unreadable(id) ? retry_later(kUnknownStateText)
+      return state.cache.is_unreadable(id) ? retry_later(kUnknownStateText)
                                         : error_response(http::status::kNotFound, kNoSuchJobText);
     if (job->status == jobs::Status::cancelled)
       return http::Response{http::status::kOk, wire::render_status(name, "cancelled")};
     if (job->status == jobs::Status::done)
       return http::Response{http::status::kOk, wire::render_status(name, "done", job->spec.tasks, 0)};
-    const auto running = state.cache.placed(id);
+    const auto running = state.cache.placed_tasks(id);
     const char* status = running > 0 ? "running" : "pending";
     return http::Response{http::status::kOk,
-                          wire::render_status(name, status, state.cache.done(id), running)};
+                          wire::render_status(name, status, state.cache.done_tasks(id), running)};
   });
 }
 
@@ -61,22 +61,22 @@
 // the users to the others: it would turn each of them away at once, have few connections for it, and so be
 // given the next ones too.
 bool JobApi::ready() {
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   const bool fresh = state_.with([&](ControllerState& state) {
-    return state.loaded && core::since(state.synchronized_at, now) < kReadyStateAgeS;
+    return state.loaded && core::seconds_between(state.synchronized_at, now) < kReadyStateAgeS;
   });
   if (fresh) return true;
-  const bool alone = !peers_.any_heard_within(kReadyPeerAgeS, now);
-  return !peers_.in_touch_with_store() && !(alone && !peers_.empty());
+  const bool alone = !peers_.any_answered_within(kReadyPeerAgeS, now);
+  return !peers_.find_peer_with_fresh_state() && !(alone && !peers_.empty());
 }
 
 // Nothing can be proved or recorded at present, directly or through a peer: that is said at once.
 bool JobApi::out_of_touch_with_store() {
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   const bool stale = state_.with([&](ControllerState& state) {
-    return !state.loaded || core::since(state.synchronized_at, now) > kStoreSilenceS;
+    return !state.loaded || core::seconds_between(state.synchronized_at, now) > kStoreSilenceS;
   });
-  return stale && !peers_.in_touch_with_store();
+  return stale && !peers_.find_peer_with_fresh_state();
 }
 
 asio::awaitable<http::Response> JobApi::query(std::string id) {
@@ -89,7 +89,7 @@
   });
   if (final_id) co_return status_of(*final_id);
   if (out_of_touch_with_store()) co_return retry_later(kNoStoreText);
-  if (!co_await follower_.linearizable_read(core::Steady::now() + kReadTimeout))
+  if (!co_await follower_.linearizable_read(core::SteadyClock::now() + kReadTimeout))
     co_return retry_later(kUnknownStateText);
   const auto known = state_.with([&](ControllerState& state) { return state.names.jobs.find(id); });
   if (!known) co_return error_response(http::status::kNotFound, kNoSuchJobText);
@@ -102,7 +102,7 @@
     co_return error_response(http::status::kBadRequest, malformed->why);
   const auto& submission = std::get<wire::Submission>(parsed);
   auto admission = state_.with([&](ControllerState& state) {
-    return decide_admission(state, submission, core::Steady::now(), core::wall_s());
+    return decide_admission(state, submission, core::SteadyClock::now(), core::unix_time_s());
   });
 
   if (std::holds_alternative<NotReady>(admission)) co_return retry_later("not ready to decide");
@@ -112,14 +112,14 @@
   if (std::holds_alternative<NeverRuns>(admission)) {
     // 422 is final to the user. The job may have been accepted by another controller, under settings or
     // machine types that allowed it, and a repeated submission must then be answered with its state.
-    if (!co_await follower_.linearizable_read(core::Steady::now() + kReadTimeout))
+    if (!co_await follower_.linearizable_read(core::SteadyClock::now() + kReadTimeout))
       co_return retry_later(kUnknownStateText);
     if (!knows(submission.id))
       co_return error_response(http::status::kUnprocessable, text_of(std::get<NeverRuns>(admission).reason));
   }
   if (!std::holds_alternative<Admitted>(admission)) co_return co_await query(submission.id);
 
-  if (!store_.spend(1, state::KeyValueStore::For::users)) co_return retry_later("too many submissions");
+  if (!store_.try_spend_writes(1, state::KeyValueStore::WritePurpose::user_requests)) co_return retry_later("too many submissions");
   auto& transaction = std::get<Admitted>(admission).transaction;
   auto response = co_await commit_submission(submission.id, std::move(transaction));
   if (response.status == http::status::kCreated)
@@ -137,7 +137,7 @@
       co_return co_await query(job);
     case CommitStatus::unknown:
       // It might be applied: what the record says after it decides.
-      if (!co_await follower_.linearizable_read(core::Steady::now() + kReadAfterCommitTimeout))
+      if (!co_await follower_.linearizable_read(core::SteadyClock::now() + kReadAfterCommitTimeout))
         co_return retry_later(kUnknownStateText);
       if (knows(job)) co_return co_await query(job);
       co_return retry_later(kUnknownStateText);
@@ -147,8 +147,8 @@
 }
 
 asio::awaitable<http::Response> JobApi::cancel(std::string id) {
-  const auto deadline = core::Steady::now() + kCancelTimeout;
-  for (int attempt = 0; attempt < kCancelAttempts && core::Steady::now() < deadline; ++attempt) {
+  const auto deadline = core::SteadyClock::now() + kCancelTimeout;
+  for (int attempt = 0; attempt < kCancelAttempts && core::SteadyClock::now() < deadline; ++attempt) {
     auto decision = state_.with([&](ControllerState& state) { return decide_cancellation(state, id); });
     if (const auto* over = std::get_if<AlreadyOver>(&decision)) co_return status_of(over->job);
     if (out_of_touch_with_store()) co_return retry_later(kNoStoreText);
@@ -156,7 +156,7 @@
     if (cancellable) {
       // Counted against the write budget, yet not held up by it: whatever else is being written, a user's
       // cancellation must not be starved, for every second of it runs what nobody wants.
-      store_.spend(1, state::KeyValueStore::For::users);
+      store_.try_spend_writes(1, state::KeyValueStore::WritePurpose::user_requests);
       const auto result = co_await follower_.commit(std::move(cancellable->transaction));
       if (result.outcome == CommitStatus::done) {
         spdlog::info("job cancelled job={}", id);
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-Client::Client(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor,
+Client::Client(std::shared_ptr<core::SocketDeadlines> deadlines, asio::any_io_executor executor,
                config::Endpoint endpoint, std::size_t keep)
     : deadlines_(std::move(deadlines)),
       executor_(std::move(executor)),
@@ -54,20 +54,20 @@
   request.body() = std::move(body);
   request.prepare_payload();
 
-  const auto deadline = core::Steady::now() + limit;
+  const auto deadline = core::SteadyClock::now() + limit;
   // A kept connection may have been closed by the other side before it took the request; only a failure to
   // write on it is tried again on a new one, since after that the request might be executed.
   for (int attempt = 0; attempt < 2; ++attempt) {
     Stream stream = attempt == 0 ? take_idle() : nullptr;
     const bool reused = stream != nullptr;
     if (!reused) stream = std::make_unique<Socket>(executor_);
-    const core::Deadlines::Guard guard(deadlines_, *stream, deadline);
+    const core::SocketDeadlines::Guard guard(deadlines_, *stream, deadline);
     Code ec;
     if (!reused) ec = co_await connect(*stream, endpoint_);
     if (ec) co_return Answer{};
     ec = co_await send(*stream, request);
     if (ec) {
-      if (reused && core::Steady::now() < deadline) continue;
+      if (reused && core::SteadyClock::now() < deadline) continue;
       co_return Answer{};
     }
     beast::flat_buffer buffer;
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -13,7 +13,7 @@
 /// Requests to one endpoint, each on a connection of its own; up to `keep` idle ones are kept for the next.
 class Client : public Transport {
  public:
-  Client(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor,
+  Client(std::shared_ptr<core::SocketDeadlines> deadlines, asio::any_io_executor executor,
          config::Endpoint endpoint, std::size_t keep = 4);
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
@@ -24,7 +24,7 @@
  private:
   using Stream = std::unique_ptr<boost::asio::ip::tcp::socket>;
   Stream take_idle();
-  std::shared_ptr<core::Deadlines> deadlines_;
+  std::shared_ptr<core::SocketDeadlines> deadlines_;
   asio::any_io_executor executor_;
   config::Endpoint endpoint_;
   std::size_t keep_;
@@ -35,7 +35,7 @@
 class TcpNetwork : public Network {
  public:
   explicit TcpNetwork(asio::any_io_executor executor)
-      : executor_(executor), deadlines_(std::make_shared<core::Deadlines>(executor, kDeadlineTick)) {}
+      : executor_(executor), deadlines_(std::make_shared<core::SocketDeadlines>(executor, kDeadlineTick)) {}
   std::unique_ptr<Transport> connect(const config::Endpoint& to, std::size_t keep) override {
     return std::make_unique<Client>(deadlines_, executor_, to, keep);
   }
@@ -43,7 +43,7 @@
  private:
   static constexpr std::chrono::milliseconds kDeadlineTick{200};
   asio::any_io_executor executor_;
-  std::shared_ptr<core::Deadlines> deadlines_;
+  std::shared_ptr<core::SocketDeadlines> deadlines_;
 };
 
 }  // namespace finchrun::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -71,20 +71,20 @@
 
 // One connection, request after request.
 asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<Handler> handler, OpenConnection,
-                                       std::shared_ptr<core::Deadlines> deadlines) {
+                                       std::shared_ptr<core::SocketDeadlines> deadlines) {
   Code ec;
   socket.set_option(asio::ip::tcp::no_delay(true), ec);
   socket.non_blocking(true, ec);
-  core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kIdle);
+  core::SocketDeadlines::Guard guard(std::move(deadlines), socket, core::SteadyClock::now() + kIdle);
   beast::flat_buffer buffer;
   while (true) {
     bhttp::request_parser<bhttp::string_body> parser;
     parser.body_limit(kMaxBodyBytes);
-    guard.move_to(core::Steady::now() + kIdle);
+    guard.reset(core::SteadyClock::now() + kIdle);
     ec = co_await receive(socket, buffer, parser);
     if (auto refusal = refusal_of(ec)) {
       auto reply = render(std::move(*refusal), kHttp11, false);
-      guard.move_to(core::Steady::now() + kWrite);
+      guard.reset(core::SteadyClock::now() + kWrite);
       co_await send(socket, reply);
       co_return;
     }
@@ -96,10 +96,10 @@
     request.method = std::string(message.method_string());
     request.target = std::string(message.target());
     request.body = std::move(message.body());
-    guard.move_to(core::TimePoint::max());  // handlers have deadlines of their own
+    guard.reset(core::TimePoint::max());  // handlers have deadlines of their own
     Response response = co_await (*handler)(std::move(request));
     auto reply = render(std::move(response), version, keep);
-    guard.move_to(core::Steady::now() + kWrite);
+    guard.reset(core::SteadyClock::now() + kWrite);
     ec = co_await send(socket, reply);
     if (ec || !keep) co_return;
   }
@@ -113,7 +113,7 @@
                                    asio::ip::tcp::endpoint(asio::ip::make_address_v4(at.host), at.port));
   auto shared = std::make_shared<Handler>(std::move(handler));
   auto open = std::make_shared<int>(0);
-  auto deadlines = std::make_shared<core::Deadlines>(executor, kTick);
+  auto deadlines = std::make_shared<core::SocketDeadlines>(executor, kTick);
   beast::error_code ec;
   auto on_error = asio::redirect_error(asio::use_awaitable, ec);
   while (true) {
--- a/src/membership/partition_map.hpp
+++ b/src/membership/partition_map.hpp
@@ -65,7 +65,7 @@
     return std::nullopt;
   }
   /// Labels in the order of preference as leaders of the partition: those in its zone first.
-  [[nodiscard]] const std::vector<std::string>& preference(core::PartitionId partition) const {
+  [[nodiscard]] const std::vector<std::string>& leader_preference(core::PartitionId partition) const {
     return preferences_.at(partition.index);
   }
 
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -82,17 +82,17 @@
 
 // Answers the frames of one connection, one after the other.
 asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<FrameHandler> handler,
-                                       [[maybe_unused]] core::InFlightCounter::Place place,
-                                       std::shared_ptr<core::Deadlines> deadlines) {
+                                       [[maybe_unused]] core::InFlightCounter::Slot slot,
+                                       std::shared_ptr<core::SocketDeadlines> deadlines) {
   prepare(socket);
-  core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kIdleTimeout);
+  core::SocketDeadlines::Guard guard(std::move(deadlines), socket, core::SteadyClock::now() + kIdleTimeout);
   while (true) {
-    guard.move_to(core::Steady::now() + kIdleTimeout);
+    guard.reset(core::SteadyClock::now() + kIdleTimeout);
     auto frame = co_await read_frame(socket);
     if (!frame) co_return;
-    guard.move_to(core::TimePoint::max());  // handlers have their own deadlines
+    guard.reset(core::TimePoint::max());  // handlers have their own deadlines
     std::string answer = co_await (*handler)(std::move(*frame));
-    guard.move_to(core::Steady::now() + kWriteTimeout);
+    guard.reset(core::SteadyClock::now() + kWriteTimeout);
     if (!co_await write_frame(socket, std::move(answer))) co_return;
   }
 }
@@ -120,7 +120,7 @@
   auto socket = take_idle();
   const bool connected = socket != nullptr;
   if (!connected) socket = std::make_unique<Socket>(executor_);
-  const core::Deadlines::Guard guard(deadlines_, *socket, core::Steady::now() + timeout);
+  const core::SocketDeadlines::Guard guard(deadlines_, *socket, core::SteadyClock::now() + timeout);
   if (!connected && !co_await connect(*socket, to_)) co_return std::nullopt;
   if (!co_await write_frame(*socket, std::move(frame))) co_return std::nullopt;
   auto answer = co_await read_frame(*socket);
@@ -133,7 +133,7 @@
   tcp::acceptor acceptor(executor, tcp::endpoint(asio::ip::make_address_v4(at.host), at.port));
   auto shared_handler = std::make_shared<FrameHandler>(std::move(handler));
   core::InFlightCounter connections;
-  auto deadlines = std::make_shared<core::Deadlines>(executor, kServerDeadlineTick);
+  auto deadlines = std::make_shared<core::SocketDeadlines>(executor, kServerDeadlineTick);
   Code ec;
   while (true) {
     Socket socket(executor);
@@ -146,7 +146,7 @@
       continue;
     }
     asio::co_spawn(executor,
-                   serve_connection(std::move(socket), shared_handler, connections.take(), deadlines),
+                   serve_connection(std::move(socket), shared_handler, connections.acquire(), deadlines),
                    asio::detached);
   }
 }
--- a/src/peer/link.hpp
+++ b/src/peer/link.hpp
@@ -33,7 +33,8 @@
 class TcpLink : public Link {
  public:
   /// `deadlines` closes the sockets of calls that have reached their timeout.
-  TcpLink(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor, config::Endpoint to)
+  TcpLink(std::shared_ptr<core::SocketDeadlines> deadlines, asio::any_io_executor executor,
+          config::Endpoint to)
       : deadlines_(std::move(deadlines)), executor_(std::move(executor)), to_(std::move(to)) {}
   asio::awaitable<std::optional<std::string>> call(std::string frame,
                                                    std::chrono::milliseconds timeout) override;
@@ -43,7 +44,7 @@
   // Returns null if no connection is idle.
   std::unique_ptr<Socket> take_idle();
 
-  std::shared_ptr<core::Deadlines> deadlines_;
+  std::shared_ptr<core::SocketDeadlines> deadlines_;
   asio::any_io_executor executor_;
   config::Endpoint to_;
   std::vector<std::unique_ptr<Socket>> idle_;
--- a/src/sched/place.cpp
+++ b/src/sched/place.cpp
@@ -46,7 +46,7 @@
 
 bool can_host(const Node& node, const JobClassProfile& job_class) {
   if (node.spot && !job_class.spot) return false;
-  return jobs::type_allowed(job_class.types, node.type) && job_class.need.fits(node.size);
+  return jobs::type_allowed(job_class.types, node.type) && job_class.need.fits_in(node.size);
 }
 
 // Beside what any task costs: a replica is small and is expected within seconds, so the fetch outweighs the
@@ -94,7 +94,7 @@
  public:
   CheapestNodes(std::vector<Node>& nodes, const Demand& demand) : nodes_(nodes), demand_(demand) {
     for (std::size_t i = 0; i < nodes.size(); ++i)
-      if (demand.need.fits(nodes[i].free) && allowed(demand, nodes[i]) && open_to(demand, nodes[i]))
+      if (demand.need.fits_in(nodes[i].free) && allowed(demand, nodes[i]) && open_to(demand, nodes[i]))
         heap_.emplace_back(start_cost(demand, nodes[i]), i);
     std::make_heap(heap_.begin(), heap_.end(), std::greater<>());
   }
@@ -112,7 +112,7 @@
       ++node.fetching;
       fetching_.push_back(index);
     }
-    if (demand_.need.fits(node.free)) {
+    if (demand_.need.fits_in(node.free)) {
       heap_.emplace_back(start_cost(demand_, node), index);
       std::push_heap(heap_.begin(), heap_.end(), std::greater<>());
     }
@@ -201,7 +201,7 @@
     if (job_class.tasks <= 0) continue;
     double places = 0;
     for (const auto& node : nodes)
-      if (can_host(node, job_class)) places += job_class.need.times_in(node.size);
+      if (can_host(node, job_class)) places += job_class.need.max_copies_in(node.size);
     if (places <= 0) continue;
     for (auto& node : nodes)
       if (can_host(node, job_class)) node.scarcity[i] = job_class.tasks / places;
--- a/src/sched/place.hpp
+++ b/src/sched/place.hpp
@@ -74,8 +74,8 @@
   core::Resources used;
   double cpus_max = 0, gpus_max = 0;  // 0: no limit
   [[nodiscard]] bool allows(const core::Resources& more) const {
-    return (gpus_max <= 0 || used.gpus + more.gpus <= gpus_max + core::Resources::kSlack) &&
-           (cpus_max <= 0 || used.cpus + more.cpus <= cpus_max + core::Resources::kSlack);
+    return (gpus_max <= 0 || used.gpus + more.gpus <= gpus_max + core::Resources::kRoundingTolerance) &&
+           (cpus_max <= 0 || used.cpus + more.cpus <= cpus_max + core::Resources::kRoundingTolerance);
   }
 };
 
--- a/src/sched/preempt.cpp
+++ b/src/sched/preempt.cpp
@@ -60,7 +60,7 @@
 
 // The demand could run on the node if nothing else did.
 bool suitable(const Demand& demand, const Node& node) {
-  return allowed(demand, node) && demand.need.fits(node.size) &&
+  return allowed(demand, node) && demand.need.fits_in(node.size) &&
          (!node.reserved_for.valid() || node.reserved_for == demand.job);
 }
 
@@ -156,11 +156,11 @@
   [[nodiscard]] std::optional<Victims> victims_on(std::size_t node) const {
     const auto& running = snapshot_.running;
     auto free = state_.free[node];
-    if (demand_.need.fits(free)) return Victims{};
+    if (demand_.need.fits_in(free)) return Victims{};
     auto candidates = candidates_on(node);
     auto most_free = free;
     for (const auto i : candidates) most_free += running[i].need;
-    if (!demand_.need.fits(most_free)) return std::nullopt;
+    if (!demand_.need.fits_in(most_free)) return std::nullopt;
     // The lowest priority first, then the least loss.
     std::sort(candidates.begin(), candidates.end(), [&](std::size_t a, std::size_t b) {
       if (running[a].priority != running[b].priority) return running[a].priority < running[b].priority;
@@ -169,7 +169,7 @@
     auto guarantees = state_.guarantees;
     Victims victims;
     for (const auto i : candidates) {
-      if (demand_.need.fits(free)) break;
+      if (demand_.need.fits_in(free)) break;
       // Its team may have come down to its guarantee.
       if (!may_preempt_task(demand_, running[i], guarantees)) continue;
       guarantees.at(running[i].team.index).used -= running[i].need;
@@ -177,7 +177,7 @@
       victims.cost += stop_cost(running[i]);
       victims.tasks.push_back(i);
     }
-    if (!demand_.need.fits(free)) return std::nullopt;
+    if (!demand_.need.fits_in(free)) return std::nullopt;
     return victims;
   }
 
@@ -274,7 +274,7 @@
   auto free = nodes[node].free;
   int counted = 0;
   const auto append = [&](double in_s) {
-    for (const int fitting = demand.need.times_in(free); counted < fitting; ++counted)
+    for (const int fitting = demand.need.max_copies_in(free); counted < fitting; ++counted)
       places.push_back({in_s, node});
   };
   append(0);
--- a/src/sched/preempt.hpp
+++ b/src/sched/preempt.hpp
@@ -30,7 +30,7 @@
   double cpus = 0, gpus = 0;  // guaranteed; 0: none
   /// Would the team still have its whole guarantee in use without `less`?
   [[nodiscard]] bool fully_used_without(const core::Resources& less) const {
-    constexpr double kSlack = core::Resources::kSlack;
+    constexpr double kSlack = core::Resources::kRoundingTolerance;
     const bool by_gpus = gpus > 0 && used.gpus - less.gpus >= gpus - kSlack;
     const bool by_cpus = cpus > 0 && used.cpus - less.cpus >= cpus - kSlack;
     return (gpus <= 0 && cpus <= 0) || by_gpus || by_cpus;
--- a/src/scheduling/cluster_load.cpp
+++ b/src/scheduling/cluster_load.cpp
@@ -22,7 +22,7 @@
 }
 
 void add_waiting_tasks(ClusterLoad& load, const ControllerState& state) {
-  for (const auto id : state.cache.live()) {
+  for (const auto id : state.cache.live_jobs()) {
     const WaitingTasks tasks(state.cache, id);
     if (!tasks.any()) continue;
     const auto& need = state.cache.job(id)->spec.need;
@@ -45,7 +45,7 @@
 
 const ClusterLoad& current_load(ControllerState& state, core::TimePoint now) {
   auto& load = state.load;
-  if (load.at != core::TimePoint{} && core::since(load.at, now) < kMaxLoadAgeS) return load;
+  if (load.at != core::TimePoint{} && core::seconds_between(load.at, now) < kMaxLoadAgeS) return load;
   load = {};
   load.at = now;
   load.waiting.resize(state.partitions.size());
@@ -80,8 +80,8 @@
   for (const auto& machine : load.machines) {
     if (!spec.allows_type(machine.type) || (machine.spot && !spec.spot)) continue;
     auto& capacity = capacities[machine.partition.index];
-    capacity.free += spec.need.times_in(machine.free);
-    capacity.capacity += spec.need.times_in(machine.size);
+    capacity.free += spec.need.max_copies_in(machine.free);
+    capacity.capacity += spec.need.max_copies_in(machine.size);
   }
   return capacities;
 }
--- a/src/scheduling/partition_writer.cpp
+++ b/src/scheduling/partition_writer.cpp
@@ -40,7 +40,7 @@
     co_await pause.wait(kLeastPauseS);
     co_await wakeup_.wait(std::max(0.0, tuning_.flush_s - kLeastPauseS));
     share_write_budget();
-    const auto now = core::Steady::now();
+    const auto now = core::SteadyClock::now();
     const auto cache_version = state_.with([](ControllerState& state) { return state.cache.version(); });
     if (round_due(now, cache_version)) {
       co_await run_round(now, cache_version);
@@ -56,12 +56,12 @@
 
 bool PartitionWriter::round_due(core::TimePoint now, std::uint64_t cache_version) const {
   return now >= next_round_ ||
-         (cache_version != round_version_ && core::since(last_round_, now) >= kLeastRoundGapS);
+         (cache_version != round_version_ && core::seconds_between(last_round_, now) >= kLeastRoundGapS);
 }
 
 asio::awaitable<void> PartitionWriter::run_round(core::TimePoint now, std::uint64_t cache_version) {
-  next_round_ = now + core::secs(tuning_.round_s);
-  const double round_s = std::min(tuning_.round_s * kMostRoundsBooked, core::since(last_round_, now));
+  next_round_ = now + core::to_duration(tuning_.round_s);
+  const double round_s = std::min(tuning_.round_s * kMostRoundsBooked, core::seconds_between(last_round_, now));
   last_round_ = now;
   round_version_ = cache_version;
   // Its transactions take along what has ended, so that a flush has little left to write.
@@ -72,7 +72,7 @@
 }
 
 void PartitionWriter::share_write_budget() {
-  store_.use_share_of_writes(state_.with([](ControllerState& state) {
+  store_.set_write_share(state_.with([](ControllerState& state) {
     std::set<std::string> leaders;
     for (std::uint32_t p = 0; p < state.partitions.size(); ++p)
       if (const auto& leader = state.cache.leadership(core::PartitionId{p}).leader; !leader.empty())
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -40,14 +40,14 @@
   auto* machine = state.fleet.find(id);
   if (!machine) return;
   machine->reserved_for = job;
-  machine->reserved_ready = now + core::secs(ready_in_s);
-  machine->reserved_until = now + core::secs(lasts_s);
+  machine->reserved_ready = now + core::to_duration(ready_in_s);
+  machine->reserved_until = now + core::to_duration(lasts_s);
 }
 
 // How long the task has run as far as heartbeats have shown; 0: none has shown it yet.
 double ran_s(const ControllerState& state, const agent::TaskAttempt& attempt, core::TimePoint now) {
   const auto confirmed = state.fleet.confirmed_starts.find(attempt);
-  return confirmed == state.fleet.confirmed_starts.end() ? 0 : core::since(confirmed->second, now);
+  return confirmed == state.fleet.confirmed_starts.end() ? 0 : core::seconds_between(confirmed->second, now);
 }
 
 // Nothing if it can't be preempted: its job is over, it is being stopped, or it is known to have ended.
@@ -149,7 +149,7 @@
                                               const std::set<core::JobId>& within_guarantee,
                                               core::TimePoint now) {
   std::vector<sched::RunningTask> running;
-  state.cache.each_named_machine(
+  state.cache.for_each_assigned_machine(
       [&](core::MachineId machine, const std::vector<state::MachineAssignment>& on_machine) {
         for (const auto& placed : on_machine) {
           if (placed.partition != partition) continue;
@@ -168,7 +168,7 @@
     evict_from(state, id, *machine.termination_notice_s, gangs);
   }
   for (const auto id : gangs) {
-    state.cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
+    state.cache.for_each_assignments(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
       if (!state.leads(partition)) return;
       for (const auto& assignment : run.assignments) evict_gracefully(state, id, assignment);
     });
--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -83,7 +83,7 @@
   for (const auto& shortage : shortages) {
     const auto partition = shortage.partition;
     if (shortage.team != team || !state.leads(partition) || state.fence_due[partition.index]) continue;
-    const bool may_withdraw = core::since(request_withdrawn_at, now) > kWithdrawalIntervalS;
+    const bool may_withdraw = core::seconds_between(request_withdrawn_at, now) > kWithdrawalIntervalS;
     const auto request = update_request(shares, shortage, may_withdraw);
     if (request == RequestChange::withdrawn) request_withdrawn_at = now;
     changed |= request != RequestChange::none;
@@ -92,12 +92,12 @@
       changed = true;
       transaction.log.push_back(fmt::format("quota granted team={} from={}", team_name, name));
     }
-    transaction.compares.push_back({state::keys::partition(name), state.fencing_token(partition)});
+    transaction.compares.push_back({state::keys::leadership(name), state.fencing_token(partition)});
     transaction.compares.push_back({state::keys::fence(name), state.cache.fence(partition)});
   }
   if (!changed) return std::nullopt;
-  const auto key = state::keys::team(team_name);
-  transaction.compares.push_back({key, state.cache.team(team).revision});
+  const auto key = state::keys::quota(team_name);
+  transaction.compares.push_back({key, state.cache.quota(team).revision});
   transaction.writes.push_back({key, to_record(state, shares)});
   return transaction;
 }
@@ -137,14 +137,14 @@
 }
 
 asio::awaitable<void> QuotaSharing::share() {
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   auto plan = state_.with([&](ControllerState& state) {
     return plan_quota_sharing(state, shortages_, request_withdrawn_at_, now);
   });
   request_withdrawn_at_ = plan.request_withdrawn_at;
   // One transaction each: a conflict over one team must not hold up the others.
   for (auto& planned : plan.transactions) {
-    if (!store_.spend(1, state::KeyValueStore::For::records)) co_return;
+    if (!store_.try_spend_writes(1, state::KeyValueStore::WritePurpose::records)) co_return;
     state::Transaction transaction{planned.compares, std::move(planned.writes)};
     const auto result = co_await follower_.commit(std::move(transaction));
     // Applied late, it would take away a share that is in use by then.
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -70,7 +70,7 @@
   const auto* job = state.cache.job(demand.job);
   if (!state.leads(item.partition) || !job || job->status != jobs::Status::live) return nullptr;
   if (job->ranges.size() > kMaxRanges || !quota_allows(state, demand, used_by_team)) return nullptr;
-  if (moves_as_a_whole(job->spec) && state.cache.placed(demand.job) > 0) return nullptr;
+  if (moves_as_a_whole(job->spec) && state.cache.placed_tasks(demand.job) > 0) return nullptr;
   return job;
 }
 
@@ -94,7 +94,7 @@
   const auto& from = state.names.partitions.name(item.partition);
   RangeMove move;
   auto& compares = move.transaction.compares;
-  compares.push_back({state::keys::partition(from), state.fencing_token(item.partition)});
+  compares.push_back({state::keys::leadership(from), state.fencing_token(item.partition)});
   compares.push_back({state::keys::job(job_name), job.revision});
   // A placement of ours that is still under way requires the job's record as it was.
   compares.push_back({state::keys::fence(from), state.cache.fence(item.partition)});
@@ -137,9 +137,9 @@
 }
 
 asio::awaitable<void> Rebalancer::rebalance(const Backlog& backlog) {
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   auto move = state_.with([&](ControllerState& state) { return plan_range_move(state, backlog, now); });
-  if (!move || !store_.spend(1, state::KeyValueStore::For::records)) co_return;
+  if (!move || !store_.try_spend_writes(1, state::KeyValueStore::WritePurpose::records)) co_return;
   const auto result = co_await follower_.commit(std::move(move->transaction));
   if (result.outcome == CommitStatus::done) spdlog::info("{}", move->log);
 }
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -47,7 +47,7 @@
 // Books the core-seconds of what runs in our partitions: `seconds` for each task that a heartbeat has shown.
 void book_usage(ControllerState& state, double wall_s, double seconds) {
   const auto teams = state.settings.teams.size();
-  state.cache.each_run([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
+  state.cache.for_each_assignments([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
     if (run.assignments.empty() || !state.leads(partition)) return;
     const auto* job = state.cache.job(id);
     if (!job || job->spec.team.index >= teams) return;
@@ -148,7 +148,7 @@
 
 void add_demands(const ControllerState& state, double wall_s, core::TimePoint now, RoundView& view) {
   const auto reserved = jobs_with_reservation(state, now);
-  for (const auto id : state.cache.live()) {
+  for (const auto id : state.cache.live_jobs()) {
     const auto& spec = state.cache.job(id)->spec;
     // Its team may not be of this deployment any more.
     if (spec.team.index >= view.used_by_team.size() || !may_start_now(state, id, now)) continue;
@@ -172,7 +172,7 @@
 // A task of the job may be on a machine of another zone than the partition's.
 bool runs_in_other_zone(const ControllerState& state, core::JobId id, core::PartitionId partition) {
   bool elsewhere = false;
-  state.cache.each_run(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
+  state.cache.for_each_assignments(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
     elsewhere = elsewhere || (state.partitions.zone(other) != state.partitions.zone(partition) &&
                               !run.assignments.empty());
   });
@@ -208,7 +208,7 @@
   if (machine.cordoned_until > now) node.risk_s = kCordonedRiskS;
   if (machine.reserved_until > now) {
     node.reserved_for = machine.reserved_for;
-    node.reserved_in_s = std::max(0.0, core::since(now, machine.reserved_ready));
+    node.reserved_in_s = std::max(0.0, core::seconds_between(now, machine.reserved_ready));
   }
   return node;
 }
@@ -225,7 +225,7 @@
     if (range.partition != partition &&
         state.partitions.zone(range.partition) == state.partitions.zone(partition))
       in_zone += range.to - range.from;
-  state.cache.each_run(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
+  state.cache.for_each_assignments(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
     if (other == partition) in_zone += static_cast<std::uint32_t>(run.assignments.size());
   });
   const auto cap = job.spec.zone_cap();
@@ -237,7 +237,7 @@
   const auto& job = *state.cache.job(id);
   const auto& spec = job.spec;
   // Until every task of its earlier attempt is gone, in whatever partition, a gang can't start again.
-  if (spec.gang() && state.cache.placed(id) > 0) return std::nullopt;
+  if (spec.gang() && state.cache.placed_tasks(id) > 0) return std::nullopt;
   sched::Demand demand;
   demand.tasks = waiting.first(partition, spec.gang() ? spec.tasks : kMostTasksOfJob);
   if (demand.tasks.empty() || (spec.gang() && demand.tasks.size() != spec.tasks)) return std::nullopt;
@@ -262,13 +262,13 @@
 
 std::optional<RoundView> build_round_view(ControllerState& state, double round_s, core::TimePoint now) {
   if (!state.loaded || state.fleet.machine_types.empty() ||
-      core::since(state.synchronized_at, now) > kMaxCacheAgeS)
+      core::seconds_between(state.synchronized_at, now) > kMaxCacheAgeS)
     return std::nullopt;
-  const double wall_s = core::wall_s();
+  const double wall_s = core::unix_time_s();
   state.drop_recorded_exits();
   const auto used = state.used_by_partition();
   RoundView view;
-  view.attempt = state.cache.newest() + 1;
+  view.attempt = state.cache.newest_revision() + 1;
   view.team_shares = state.shares;
   view.used_by_team = controller::sum_by_team(used, state.settings.teams.size());
   view.guarantees = guarantees_of(state.settings.teams, view.used_by_team);
--- a/src/scheduling/scheduling_round.cpp
+++ b/src/scheduling/scheduling_round.cpp
@@ -59,7 +59,7 @@
 
 asio::awaitable<std::optional<core::TimePoint>> SchedulingRound::run(double round_s) {
   co_await recorder_.move_fences();
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   backlog_.clear();
   quota_.clear();
   auto view = state_.with([&](ControllerState& state) { return build_round_view(state, round_s, now); });
--- a/src/scheduling/usage_recorder.cpp
+++ b/src/scheduling/usage_recorder.cpp
@@ -12,7 +12,7 @@
     if (!state.leads(partition) || state.usage_from[p] != fencing_token) continue;
     const auto& name = state.names.partitions.name(partition);
     state::Transaction transaction;
-    transaction.compares.push_back({state::keys::partition(name), fencing_token});
+    transaction.compares.push_back({state::keys::leadership(name), fencing_token});
     const state::UsageRecord usage{state.usage[p].index(), state.usage[p].windows(), 0};
     transaction.writes.push_back(
         {state::keys::usage(name), state::encode(usage, state.settings.state_limits.value_bytes())});
@@ -24,7 +24,7 @@
 asio::awaitable<void> UsageRecorder::record() {
   auto transactions = state_.with([](ControllerState& state) { return plan_usage_records(state); });
   for (auto& transaction : transactions) {
-    if (!store_.spend(1, state::KeyValueStore::For::records)) co_return;
+    if (!store_.try_spend_writes(1, state::KeyValueStore::WritePurpose::records)) co_return;
     co_await follower_.commit(std::move(transaction));
   }
 }
--- a/src/scheduling/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -7,10 +7,10 @@
 WaitingTasks::WaitingTasks(const state::StateCache& cache, core::JobId id) : job_(cache.job(id)) {
   const auto tasks = job_->spec.tasks;
   // Most jobs have nothing waiting; that is seen without looking at single tasks.
-  any_ = cache.done(id) + cache.placed(id) < tasks;
+  any_ = cache.done_tasks(id) + cache.placed_tasks(id) < tasks;
   if (!any_) return;
   busy_.assign(tasks, false);
-  cache.each_run(id, [&](core::PartitionId, const jobs::JobAssignments& run) { mark_busy(run); });
+  cache.for_each_assignments(id, [&](core::PartitionId, const jobs::JobAssignments& run) { mark_busy(run); });
 }
 
 void WaitingTasks::mark_busy(const jobs::JobAssignments& run) {
--- a/src/state/assignment_table.cpp
+++ b/src/state/assignment_table.cpp
@@ -104,9 +104,9 @@
   const auto it = std::find_if(job.shard_assignments.begin(), job.shard_assignments.end(),
                                [&](const ShardAssignments& entry) { return entry.shard == shard; });
   if (it != job.shard_assignments.end()) {
-    if (it->run == next) return;
-    job.done -= it->run.done.size();
-    job.placed -= static_cast<std::uint32_t>(it->run.assignments.size());
+    if (it->job_assignments == next) return;
+    job.done -= it->job_assignments.done.size();
+    job.placed -= static_cast<std::uint32_t>(it->job_assignments.assignments.size());
     remove_from_machines(id, *it);
     job.shard_assignments.erase(it);
   }
@@ -126,7 +126,7 @@
 }
 
 void AssignmentTable::remove_from_machines(core::JobId id, const ShardAssignments& removed) {
-  for (const auto& assignment : removed.run.assignments) {
+  for (const auto& assignment : removed.job_assignments.assignments) {
     const auto machine = by_machine_.find(assignment.machine);
     if (machine == by_machine_.end()) continue;
     std::erase_if(machine->second, [&](const MachineAssignment& listed) {
@@ -173,7 +173,7 @@
 
 const jobs::JobAssignments* AssignmentTable::find(core::JobId id, core::ShardId shard) const {
   for (const auto& entry : shard_assignments(id))
-    if (entry.shard == shard) return &entry.run;
+    if (entry.shard == shard) return &entry.job_assignments;
   return nullptr;
 }
 
@@ -181,17 +181,17 @@
                                      std::uint64_t attempt) const {
   for (const auto& entry : shard_assignments(id)) {
     if (entry.partition != partition) continue;
-    for (const auto& assignment : entry.run.assignments)
+    for (const auto& assignment : entry.job_assignments.assignments)
       if (assignment.task == task && assignment.attempt == attempt) return true;
   }
   return false;
 }
 
-std::uint32_t AssignmentTable::done(core::JobId id) const {
+std::uint32_t AssignmentTable::done_tasks(core::JobId id) const {
   return id.index < entries_.size() ? entries_[id.index].done : 0;
 }
 
-std::uint32_t AssignmentTable::placed(core::JobId id) const {
+std::uint32_t AssignmentTable::placed_tasks(core::JobId id) const {
   return id.index < entries_.size() ? entries_[id.index].placed : 0;
 }
 
--- a/src/state/assignment_table.hpp
+++ b/src/state/assignment_table.hpp
@@ -35,7 +35,7 @@
 struct ShardAssignments {
   core::PartitionId partition;
   core::ShardId shard;
-  jobs::JobAssignments run;
+  jobs::JobAssignments job_assignments;
 };
 
 /// An assignment in the index by machine.
@@ -64,7 +64,7 @@
   void mark_unreadable(core::PartitionId partition) { unreadable_partitions_.insert(partition); }
   void reset();
 
-  [[nodiscard]] bool readable(core::PartitionId partition) const {
+  [[nodiscard]] bool is_readable(core::PartitionId partition) const {
     return !unreadable_partitions_.contains(partition);
   }
   /// Increases with every change.
@@ -84,8 +84,8 @@
   [[nodiscard]] bool has_assignment(core::JobId id, core::PartitionId partition, std::uint32_t task,
                                     std::uint64_t attempt) const;
   /// Numbers of the job's tasks that are recorded as done, and that may be on a machine.
-  [[nodiscard]] std::uint32_t done(core::JobId id) const;
-  [[nodiscard]] std::uint32_t placed(core::JobId id) const;
+  [[nodiscard]] std::uint32_t done_tasks(core::JobId id) const;
+  [[nodiscard]] std::uint32_t placed_tasks(core::JobId id) const;
   /// Jobs with an entry in some shard.
   [[nodiscard]] const std::set<core::JobId>& assigned_jobs() const { return assigned_jobs_; }
   /// All assignments, by machine. Machines without assignments are left out.
--- a/src/state/coordination_records.cpp
+++ b/src/state/coordination_records.cpp
@@ -23,7 +23,7 @@
     return;
   }
   member = decode_member(*update.value, update.revision);
-  last_levels_[name] = member.level;
+  last_record_levels_[name] = member.record_level;
 }
 
 void CoordinationRecords::apply_quota(std::string_view team, const KeyUpdate& update) {
@@ -62,9 +62,9 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-std::optional<std::uint64_t> CoordinationRecords::last_level(const std::string& label) const {
-  const auto it = last_levels_.find(label);
-  if (it == last_levels_.end()) return std::nullopt;
+std::optional<std::uint64_t> CoordinationRecords::last_record_level(const std::string& label) const {
+  const auto it = last_record_levels_.find(label);
+  if (it == last_record_levels_.end()) return std::nullopt;
   return it->second;
 }
 
--- a/src/state/coordination_records.hpp
+++ b/src/state/coordination_records.hpp
@@ -38,7 +38,7 @@
   [[nodiscard]] const Member* member(const std::string& label) const;
   [[nodiscard]] const std::unordered_map<std::string, Member>& members() const { return members_; }
   /// Level in the newest member record of the label, also after its process has ended.
-  [[nodiscard]] std::optional<std::uint64_t> last_level(const std::string& label) const;
+  [[nodiscard]] std::optional<std::uint64_t> last_record_level(const std::string& label) const;
   [[nodiscard]] const QuotaRecord& quota(core::TeamId id) const { return quotas_.at(id.index); }
   [[nodiscard]] std::uint64_t fence(core::PartitionId id) const { return fences_.at(id.index); }
   [[nodiscard]] const UsageRecord& usage(core::PartitionId id) const { return usage_.at(id.index); }
@@ -47,7 +47,7 @@
   const jobs::Names& names_;
   std::vector<LeadershipRecord> leadership_;
   std::unordered_map<std::string, Member> members_;
-  std::unordered_map<std::string, std::uint64_t> last_levels_;  // by label
+  std::unordered_map<std::string, std::uint64_t> last_record_levels_;  // by label
   std::vector<QuotaRecord> quotas_;
   std::vector<std::uint64_t> fences_;
   std::vector<UsageRecord> usage_;
--- a/src/state/job_table.hpp
+++ b/src/state/job_table.hpp
@@ -28,9 +28,9 @@
 
   /// The job's record, null if there is none that could be read.
   [[nodiscard]] const jobs::JobRecord* find(core::JobId id) const;
-  [[nodiscard]] bool unreadable(core::JobId id) const { return unreadable_.contains(id); }
+  [[nodiscard]] bool is_unreadable(core::JobId id) const { return unreadable_.contains(id); }
   /// Jobs that are accepted and have not ended.
-  [[nodiscard]] const std::set<core::JobId>& live() const { return live_; }
+  [[nodiscard]] const std::set<core::JobId>& live_jobs() const { return live_; }
   /// Jobs cancelled after the revision; nullopt if this cache no longer has all of them.
   [[nodiscard]] std::optional<std::vector<core::JobId>> cancelled_after(std::uint64_t revision) const;
   /// Increases with every change of a record.
--- a/src/state/key_value_store.cpp
+++ b/src/state/key_value_store.cpp
@@ -34,7 +34,7 @@
 
 RateLimiter make_rate_limiter(double total_rate, int controllers, double burst_s) {
   const double rate = controller_rate(total_rate, controllers);
-  return {rate, rate * burst_s, core::Steady::now()};
+  return {rate, rate * burst_s, core::SteadyClock::now()};
 }
 
 }  // namespace
@@ -45,22 +45,22 @@
       lease_client_(network.connect(settings.state, kRenewalConnections)),
       peer_relay_(std::move(peer_relay)),
       limits_(settings.state_limits),
-      requests_(make_rate_limiter(limits_.requests_per_s, settings.nodes, kRequestBurstS)),
-      writes_(make_rate_limiter(limits_.writes_per_s, settings.nodes, kWriteBurstS)) {}
+      request_limiter_(make_rate_limiter(limits_.requests_per_s, settings.nodes, kRequestBurstS)),
+      write_limiter_(make_rate_limiter(limits_.writes_per_s, settings.nodes, kWriteBurstS)) {}
 
-void KeyValueStore::use_share_of_writes(double share) {
+void KeyValueStore::set_write_share(double share) {
   // A minimum burst lets a controller that writes little accept submissions that arrive together. It is at
   // most a quarter of what the store grants.
   const double min_burst = std::clamp(limits_.writes_per_s / 4, 4.0, 8.0);
   const double rate = limits_.writes_per_s * std::min(1.0, share);
-  writes_.resize(rate, std::max(min_burst, rate * kWriteBurstS));
+  write_limiter_.set_rate(rate, std::max(min_burst, rate * kWriteBurstS));
 }
 
-bool KeyValueStore::spend(int writes, For what) {
-  const double reserve = what == For::records ? kRecordWriteReserve : 0;
+bool KeyValueStore::try_spend_writes(int writes, WritePurpose purpose) {
+  const double reserve = purpose == WritePurpose::records ? kRecordWriteReserve : 0;
   // A request larger than a burst could never be granted: it is granted when the whole burst is available.
-  const double tokens = std::min<double>(writes, writes_.burst() * (1 - reserve));
-  return writes_.take(tokens, reserve, core::Steady::now());
+  const double tokens = std::min<double>(writes, write_limiter_.burst() * (1 - reserve));
+  return write_limiter_.try_take(tokens, reserve, core::SteadyClock::now());
 }
 
 // After 503 the request was not executed and may be sent through a peer. Without an answer that holds only
@@ -68,33 +68,33 @@
 asio::awaitable<http::Answer> KeyValueStore::call_or_relay(http::Transport& direct, http::Verb verb,
                                                            std::string target, std::string body) {
   const bool read = verb == http::Verb::get;
-  const bool refused = core::since(refused_at_, core::Steady::now()) < kRefusalDurationS;
+  const bool refused = core::seconds_between(refused_at_, core::SteadyClock::now()) < kRefusalDurationS;
   auto answer = co_await direct.call(verb, target, body, refused && read ? kProbeTimeout : kTimeout);
   const bool not_executed = answer.status == http::status::kServiceUnavailable ||
                             (answer.status == http::status::kNoAnswer && read);
-  if (not_executed) refused_at_ = core::Steady::now();
+  if (not_executed) refused_at_ = core::SteadyClock::now();
   if (not_executed && peer_relay_)
     answer = co_await peer_relay_->call(verb, std::move(target), std::move(body), kTimeout);
   co_return answer;
 }
 
 asio::awaitable<http::Answer> KeyValueStore::forward(http::Verb verb, std::string target, std::string body) {
-  if (!requests_.take(1, kForwardReserve, core::Steady::now()))
+  if (!request_limiter_.try_take(1, kForwardReserve, core::SteadyClock::now()))
     co_return http::Answer{http::status::kTooManyRequests, {}};
   co_return co_await client_->call(verb, std::move(target), std::move(body), kTimeout);
 }
 
 asio::awaitable<http::Answer> KeyValueStore::call(http::Verb verb, std::string target, std::string body,
                                                   double reserve) {
-  if (!requests_.take(1, reserve, core::Steady::now()))
+  if (!request_limiter_.try_take(1, reserve, core::SteadyClock::now()))
     co_return http::Answer{http::status::kTooManyRequests, {}};
   http::Answer answer = co_await call_or_relay(*client_, verb, std::move(target), std::move(body));
-  if (answer.status == http::status::kTooManyRequests) requests_.refused(core::Steady::now());
+  if (answer.status == http::status::kTooManyRequests) request_limiter_.drain(core::SteadyClock::now());
   co_return answer;
 }
 
 asio::awaitable<http::Answer> KeyValueStore::call_unthrottled(std::string target, std::string body) {
-  requests_.take(1, kLeaseReserve, core::Steady::now());
+  request_limiter_.try_take(1, kLeaseReserve, core::SteadyClock::now());
   co_return co_await call_or_relay(*lease_client_, http::Verb::post, std::move(target), std::move(body));
 }
 
@@ -122,7 +122,7 @@
   }
   const http::Answer answer =
       co_await call(http::Verb::post, "/commit", std::move(body.text), kCommitReserve);
-  if (answer.status == http::status::kTooManyRequests) writes_.refused(core::Steady::now());
+  if (answer.status == http::status::kTooManyRequests) write_limiter_.drain(core::SteadyClock::now());
   auto result = commit_result(answer);
   if (result.outcome == CommitStatus::malformed) spdlog::error("commit malformed reason={}", answer.body);
   co_return result;
--- a/src/state/key_value_store.hpp
+++ b/src/state/key_value_store.hpp
@@ -29,7 +29,7 @@
 
   /// Applies the whole transaction or none of it. After `unknown`, it may be applied at any later time: the
   /// caller reads the records back, or writes a key that the transaction compares (see `keys::fence`). The
-  /// caller has to take the writes from the write budget first (`spend`).
+  /// caller has to take the writes from the write budget first (`try_spend_writes`).
   asio::awaitable<CommitResult> commit(Transaction transaction);
   /// Returns every change after `from`; the answer is at least as new as the moment of the call.
   asio::awaitable<Result<Changes>> changes(std::uint64_t from);
@@ -45,12 +45,12 @@
   asio::awaitable<http::Answer> forward(http::Verb verb, std::string target, std::string body);
 
   /// Purpose of a write. Records leave a part of each burst to requests that users wait for.
-  enum class For { users, records };
+  enum class WritePurpose { user_requests, records };
   /// Takes the writes from the write budget; false if it does not have that many now.
-  bool spend(int writes, For what);
+  bool try_spend_writes(int writes, WritePurpose purpose);
   [[nodiscard]] std::size_t max_writes() const { return limits_.max_writes(); }
   /// Sets this controller's share (0..1) of all controllers' writes. Leaders write the most.
-  void use_share_of_writes(double share);
+  void set_write_share(double share);
 
  private:
   asio::awaitable<http::Answer> call(http::Verb verb, std::string target, std::string body, double reserve);
@@ -64,8 +64,8 @@
   std::unique_ptr<http::Transport> peer_relay_;
   core::TimePoint refused_at_{};  // when the store last did not execute a request
   config::StateLimits limits_;
-  RateLimiter requests_;
-  RateLimiter writes_;
+  RateLimiter request_limiter_;
+  RateLimiter write_limiter_;
   std::unordered_map<std::string, std::size_t> logged_oversizes_;  // by key: the last size logged
 };
 
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -21,9 +21,9 @@
 std::string shard(const std::string& partition, const std::string& name) {
   return key(Table::shards, partition + "/" + name);
 }
-std::string partition(const std::string& partition) { return key(Table::leadership, partition); }
+std::string leadership(const std::string& partition) { return key(Table::leadership, partition); }
 std::string member(const std::string& label) { return key(Table::members, label); }
-std::string team(const std::string& team) { return key(Table::quotas, team); }
+std::string quota(const std::string& team) { return key(Table::quotas, team); }
 std::string usage(const std::string& partition) { return key(Table::usage, partition); }
 std::string fence(const std::string& partition) { return key(Table::fences, partition); }
 std::string tombstones(const std::string& partition) { return key(Table::tombstones, partition); }
--- a/src/state/keys.hpp
+++ b/src/state/keys.hpp
@@ -10,9 +10,9 @@
 std::string job(const std::string& id);
 std::string shard(const std::string& partition, const std::string& name);
 /// Key of the partition's leadership record.
-std::string partition(const std::string& partition);
+std::string leadership(const std::string& partition);
 std::string member(const std::string& label);
-std::string team(const std::string& team);
+std::string quota(const std::string& team);
 std::string usage(const std::string& partition);
 std::string fence(const std::string& partition);
 std::string tombstones(const std::string& partition);
--- a/src/state/rate_limiter.hpp
+++ b/src/state/rate_limiter.hpp
@@ -17,27 +17,27 @@
 
   /// Takes n tokens if at least `reserve` (a share of the burst) is left afterwards; otherwise returns
   /// false. A negative reserve allows an overdraft of that size.
-  bool take(double n, double reserve, core::TimePoint now) {
+  bool try_take(double n, double reserve, core::TimePoint now) {
     refill(now);
     if (tokens_ - n < reserve * burst_) return false;
     tokens_ -= n;
     return true;
   }
-  void resize(double per_s, double burst) {
+  void set_rate(double per_s, double burst) {
     rate_ = per_s;
     burst_ = burst;
     tokens_ = std::min(tokens_, burst);
   }
   [[nodiscard]] double burst() const { return burst_; }
   /// Empties the bucket after the service answered 429: other clients use the service's budget as well.
-  void refused(core::TimePoint now) {
+  void drain(core::TimePoint now) {
     refill(now);
     tokens_ = std::min(tokens_, 0.0);
   }
 
  private:
   void refill(core::TimePoint now) {
-    tokens_ = std::min(burst_, tokens_ + rate_ * core::since(refilled_at_, now));
+    tokens_ = std::min(burst_, tokens_ + rate_ * core::seconds_between(refilled_at_, now));
     refilled_at_ = now;
   }
   double rate_, burst_, tokens_;  // tokens per second, tokens, tokens
--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 json::value encode(const Member& member) {
-  return json::object{{"inc", member.incarnation}, {"level", member.level}};
+  return json::object{{"inc", member.incarnation}, {"level", member.record_level}};
 }
 
 Member decode_member(const json::value& stored, std::uint64_t revision) {
@@ -130,16 +130,17 @@
   return list;
 }
 
-bool apply_tombstones(jobs::JobAssignments& run, const std::vector<Tombstone>& items) {
+bool apply_tombstones(jobs::JobAssignments& job_assignments, const std::vector<Tombstone>& items) {
   bool changed = false;
   for (const auto& item : items) {
-    const auto erased = std::erase_if(run.assignments, [&](const jobs::TaskAssignment& assignment) {
-      return assignment.task == item.task && assignment.attempt == item.attempt;
-    });
+    const auto erased =
+        std::erase_if(job_assignments.assignments, [&](const jobs::TaskAssignment& assignment) {
+          return assignment.task == item.task && assignment.attempt == item.attempt;
+        });
     // An exit may be reported first without and then with a result; the task is done either way.
-    const auto done_before = run.done.size();
-    run.done.add(item.done.first, item.done.second);
-    changed = changed || erased > 0 || run.done.size() != done_before;
+    const auto done_before = job_assignments.done.size();
+    job_assignments.done.add(item.done.first, item.done.second);
+    changed = changed || erased > 0 || job_assignments.done.size() != done_before;
   }
   return changed;
 }
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -24,17 +24,17 @@
 // are of builds that predate levels, and have level 0.
 
 /// Reads services (`standing` in the records).
-inline constexpr std::uint64_t kStandingJobs = 1;
+inline constexpr std::uint64_t kServicesLevel = 1;
 /// Reads the same contents whether a shard or its partition's tombstones are read first.
-inline constexpr std::uint64_t kTombstonesInAnyOrder = 2;
-inline constexpr std::uint64_t kRecordLevel = kTombstonesInAnyOrder;
+inline constexpr std::uint64_t kUnorderedTombstonesLevel = 2;
+inline constexpr std::uint64_t kRecordLevel = kUnorderedTombstonesLevel;
 
 /// `members/<label>`: a running controller process, as far as the key-value store knows. The key is attached
 /// to the process's store lease.
 struct Member {
-  std::uint64_t incarnation = 0;  ///< of the process; unique
-  std::uint64_t revision = 0;     ///< of the record
-  std::uint64_t level = 0;        ///< record level of its build
+  std::uint64_t incarnation = 0;   ///< of the process; unique
+  std::uint64_t revision = 0;      ///< of the record
+  std::uint64_t record_level = 0;  ///< record level of its build
 };
 json::value encode(const Member& member);
 Member decode_member(const json::value& stored, std::uint64_t revision);
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -91,16 +91,16 @@
 
 void StateCache::update_cancelled_with_tasks(core::JobId id) {
   const auto* record = job(id);
-  if (record && record->status == jobs::Status::cancelled && placed(id) > 0) {
+  if (record && record->status == jobs::Status::cancelled && placed_tasks(id) > 0) {
     cancelled_with_tasks_.insert(id);
   } else {
     cancelled_with_tasks_.erase(id);
   }
 }
 
-std::uint32_t StateCache::done(core::JobId id) const {
+std::uint32_t StateCache::done_tasks(core::JobId id) const {
   const auto* record = job(id);
-  return record && record->spec.standing() ? 0 : assignments_.done(id);
+  return record && record->spec.standing() ? 0 : assignments_.done_tasks(id);
 }
 
 }  // namespace finchrun::state
--- a/src/state/state_cache.hpp
+++ b/src/state/state_cache.hpp
@@ -37,16 +37,16 @@
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
   /// The highest revision in any answer. Attempts are numbered by it, so that later ones have higher
   /// numbers.
-  [[nodiscard]] std::uint64_t newest() const { return newest_revision_; }
+  [[nodiscard]] std::uint64_t newest_revision() const { return newest_revision_; }
   /// Increases with every change of a job or an assignment.
   [[nodiscard]] std::uint64_t version() const { return jobs_.version() + assignments_.version(); }
 
   /// The job's record, null if there is none that could be read.
   [[nodiscard]] const jobs::JobRecord* job(core::JobId id) const { return jobs_.find(id); }
   /// True if the job exists, but this build can't read its record.
-  [[nodiscard]] bool unreadable(core::JobId id) const { return jobs_.unreadable(id); }
+  [[nodiscard]] bool is_unreadable(core::JobId id) const { return jobs_.is_unreadable(id); }
   /// Jobs that are accepted and have not ended.
-  [[nodiscard]] const std::set<core::JobId>& live() const { return jobs_.live(); }
+  [[nodiscard]] const std::set<core::JobId>& live_jobs() const { return jobs_.live_jobs(); }
   /// Cancelled jobs with tasks that may still be on a machine.
   [[nodiscard]] const std::set<core::JobId>& cancelled_with_tasks() const { return cancelled_with_tasks_; }
   /// Jobs cancelled after the revision; nullopt if this cache no longer has all of them.
@@ -56,14 +56,14 @@
 
   /// Calls f(job, partition, assignments) for each job's entry in each shard.
   template <class F>
-  void each_run(F&& f) const {
+  void for_each_assignments(F&& f) const {
     for (const auto id : assignments_.assigned_jobs())
-      for (const auto& held : assignments_.shard_assignments(id)) f(id, held.partition, held.run);
+      for (const auto& held : assignments_.shard_assignments(id)) f(id, held.partition, held.job_assignments);
   }
   /// Calls f(partition, assignments) for the job's entry in each shard.
   template <class F>
-  void each_run(core::JobId id, F&& f) const {
-    for (const auto& held : assignments_.shard_assignments(id)) f(held.partition, held.run);
+  void for_each_assignments(core::JobId id, F&& f) const {
+    for (const auto& held : assignments_.shard_assignments(id)) f(held.partition, held.job_assignments);
   }
   /// The job's entries in all shards.
   [[nodiscard]] const std::vector<ShardAssignments>& shard_assignments(core::JobId id) const {
@@ -83,7 +83,7 @@
     return assignments_.tombstones(partition);
   }
   /// The job's entry in the shard, null if there is none.
-  [[nodiscard]] const jobs::JobAssignments* run(core::JobId id, core::ShardId shard) const {
+  [[nodiscard]] const jobs::JobAssignments* find_assignments(core::JobId id, core::ShardId shard) const {
     return assignments_.find(id, shard);
   }
   [[nodiscard]] bool has_assignment(core::JobId id, core::PartitionId partition, std::uint32_t task,
@@ -91,18 +91,20 @@
     return assignments_.has_assignment(id, partition, task, attempt);
   }
   /// False once a record of the partition can't be read, so that what runs there is unknown.
-  [[nodiscard]] bool readable(core::PartitionId partition) const { return assignments_.readable(partition); }
+  [[nodiscard]] bool is_readable(core::PartitionId partition) const {
+    return assignments_.is_readable(partition);
+  }
   /// Number of the job's done tasks over all partitions; 0 for a service.
-  [[nodiscard]] std::uint32_t done(core::JobId id) const;
+  [[nodiscard]] std::uint32_t done_tasks(core::JobId id) const;
   /// Number of the job's tasks that may be on a machine, over all partitions.
-  [[nodiscard]] std::uint32_t placed(core::JobId id) const { return assignments_.placed(id); }
+  [[nodiscard]] std::uint32_t placed_tasks(core::JobId id) const { return assignments_.placed_tasks(id); }
   /// All assignments of the machine, from an index: a heartbeat does not search all records.
   [[nodiscard]] const std::vector<MachineAssignment>& on_machine(core::MachineId id) const {
     return assignments_.on_machine(id);
   }
   /// Calls f(machine, assignments) for each machine that has assignments.
   template <class F>
-  void each_named_machine(F&& f) const {
+  void for_each_assigned_machine(F&& f) const {
     for (const auto& [id, assignments] : assignments_.by_machine()) f(id, assignments);
   }
 
@@ -114,10 +116,10 @@
   [[nodiscard]] const Member* member(const std::string& label) const { return records_.member(label); }
   [[nodiscard]] const std::unordered_map<std::string, Member>& members() const { return records_.members(); }
   /// Level in the newest member record of the label, also after its process has ended.
-  [[nodiscard]] std::optional<std::uint64_t> last_level(const std::string& label) const {
-    return records_.last_level(label);
+  [[nodiscard]] std::optional<std::uint64_t> last_record_level(const std::string& label) const {
+    return records_.last_record_level(label);
   }
-  [[nodiscard]] const QuotaRecord& team(core::TeamId id) const { return records_.quota(id); }
+  [[nodiscard]] const QuotaRecord& quota(core::TeamId id) const { return records_.quota(id); }
   /// Revision of the partition's fence; 0: never written.
   [[nodiscard]] std::uint64_t fence(core::PartitionId id) const { return records_.fence(id); }
   [[nodiscard]] const UsageRecord& usage(core::PartitionId id) const { return records_.usage(id); }
--- a/src/state/store_protocol.cpp
+++ b/src/state/store_protocol.cpp
@@ -81,7 +81,7 @@
     result.revision = to_uint64(body->at("epoch"));
     result.outcome = answer.status == http::status::kOk ? CommitStatus::done : CommitStatus::conflict;
     if (result.outcome == CommitStatus::conflict)
-      for (const auto& key : body->at("failed").as_array()) result.failed.emplace_back(key.as_string());
+      for (const auto& key : body->at("failed").as_array()) result.failed_keys.emplace_back(key.as_string());
     return result;
   } catch (const std::exception&) {
     return {};
--- a/src/state/transaction.hpp
+++ b/src/state/transaction.hpp
@@ -46,8 +46,8 @@
 
 struct CommitResult {
   CommitStatus outcome = CommitStatus::unknown;
-  std::uint64_t revision = 0;       ///< with `done`: of the changes; with `conflict`: of the store
-  std::vector<std::string> failed;  ///< with `conflict`: the keys whose condition failed
+  std::uint64_t revision = 0;            ///< with `done`: of the changes; with `conflict`: of the store
+  std::vector<std::string> failed_keys;  ///< with `conflict`: the keys whose condition failed
 };
 
 /// A key's value as of a revision.
--- a/tests/agent/heartbeat_handler_test.cpp
+++ b/tests/agent/heartbeat_handler_test.cpp
@@ -60,7 +60,7 @@
   state::StateCache cache;
   Fleet fleet;
   std::unordered_map<core::JobId, JobFailures> job_failures;
-  core::TimePoint now{core::secs(1000)};
+  core::TimePoint now{core::to_duration(1000)};
   Machine* machine = nullptr;
 };
 
@@ -83,7 +83,7 @@
     Bed b;
     b.job_failures[core::JobId{0}].machines.insert(core::MachineId{77});
     b.job_failures[core::JobId{0}].last_failure = b.now;
-    b.now += core::secs(apart_s);
+    b.now += core::to_duration(apart_s);
     b.heartbeat(2, 1, 50, {{"req-1", 0, 7, TaskState::ended, ExitCause::error, false}});
     EXPECT_EQ(b.job_failures[core::JobId{0}].retry_at > b.now, apart_s < 100) << apart_s;
   }
@@ -216,15 +216,15 @@
                                                   [](Bed& b) { b.heartbeat(3, 12, 50, {}); }, true},
                                          DeafCase{"a_session_that_outlives_a_lease_was_answered",
                                                   [](Bed& b) {
-                                                    b.now += core::secs(12);
+                                                    b.now += core::to_duration(12);
                                                     b.heartbeat(3, 12, 50, {});
                                                   },
                                                   false},
                                          DeafCase{"another_lost_session_counts_anew",
                                                   [](Bed& b) {
-                                                    b.now += core::secs(12);
+                                                    b.now += core::to_duration(12);
                                                     b.heartbeat(4, 12, 50, {});
-                                                    b.now += core::secs(5);
+                                                    b.now += core::to_duration(5);
                                                     b.heartbeat(4, 13, 50, {});
                                                   },
                                                   true},
--- a/tests/agent/machine_test.cpp
+++ b/tests/agent/machine_test.cpp
@@ -7,7 +7,7 @@
 namespace finchrun::agent {
 namespace {
 
-core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
+core::TimePoint at(double seconds) { return core::TimePoint(core::to_duration(seconds)); }
 
 TEST(Machine, OnlyALaterMessageCounts) {
   struct Case {
@@ -62,7 +62,7 @@
   std::vector<double> pauses_s;
   for (std::uint32_t machine = 1; machine < 5; ++machine) {
     failures.record(core::MachineId{machine}, at(110));
-    pauses_s.push_back(core::since(at(110), failures.retry_at));
+    pauses_s.push_back(core::seconds_between(at(110), failures.retry_at));
   }
   EXPECT_EQ(pauses_s, (std::vector<double>{8, 16, 32, 60}));
   EXPECT_EQ(failures.failures, 6);
--- a/tests/app/cluster_test.cpp
+++ b/tests/app/cluster_test.cpp
@@ -21,7 +21,7 @@
   for (const std::uint32_t seed : {7u, 8u}) {
     Cluster c(seed);
     load(c, 12, 30);
-    c.troubles_over = core::Steady::now() + core::secs(120);
+    c.troubles_over = core::SteadyClock::now() + core::to_duration(120);
     GetParam().job_failures(c);
     c.run(220);
     expect_rules(c);
@@ -45,7 +45,7 @@
         FaultScenario{"store_outage",
                       [](Cluster& c) {
                         c.at(15, [&c] { c.state.outage = true; });
-                        c.at(30, [&c] { c.state.recover(core::Steady::now()); });
+                        c.at(30, [&c] { c.state.recover(core::SteadyClock::now()); });
                       }},
         FaultScenario{"refused_alone",
                       [](Cluster& c) {
@@ -99,7 +99,7 @@
                         c.at(14, [&c] { c.state.outage = true; });
                         for (std::size_t n = 0; n < 3; ++n)
                           c.at(20, [&c, n] { c.crash(n, n == 0 ? 0.2 : 3); });
-                        c.at(29, [&c] { c.state.recover(core::Steady::now()); });
+                        c.at(29, [&c] { c.state.recover(core::SteadyClock::now()); });
                       }},
         FaultScenario{"half_of_all_machines_hang_past_their_lease_with_late_copies",
                       [](Cluster& c) {
@@ -248,7 +248,7 @@
   }
   const double outage = compares();
   c.at(outage, [&c] { c.state.outage = true; });
-  c.at(outage + 3 + dice() % 15, [&c] { c.state.recover(core::Steady::now()); });
+  c.at(outage + 3 + dice() % 15, [&c] { c.state.recover(core::SteadyClock::now()); });
   for (int i = 0; i < 4; ++i) {
     const double from = compares();
     const auto pick = dice();
--- a/tests/app/overlapping_faults_test.cpp
+++ b/tests/app/overlapping_faults_test.cpp
@@ -33,13 +33,13 @@
   for (double t = refused_at; t < out_at; t += 0.25) c.at(t, [&c] { cancel_running(c, 1); });
   c.at(out_at, [&c] { c.state.outage = true; });
   c.at(refused_at + 14, [&c] { c.refused.clear(); });
-  c.at(out_at + out_for, [&c] { c.state.recover(core::Steady::now()); });
+  c.at(out_at + out_for, [&c] { c.state.recover(core::SteadyClock::now()); });
 }
 
 // The check itself: machines that nobody reaches have room, and what was accepted waits beside it.
 TEST(OverlappingFaults, AJobThatWaitsBesideRoomIsSeen) {
   Cluster c(4);
-  c.troubles_over = core::Steady::now() + core::secs(10);
+  c.troubles_over = core::SteadyClock::now() + core::to_duration(10);
   c.at(8, [&c] {
     for (std::size_t n = 0; n < 3; ++n)
       for (const char* zone : {"zone a", "zone b"}) c.cut.insert({n, zone});
@@ -62,7 +62,7 @@
   for (const std::uint32_t seed : {7u, 8u}) {
     Cluster c(seed, 3, 3, m.timing);
     load(c, 9, 25);
-    c.troubles_over = core::Steady::now() + core::secs(m.over_s);
+    c.troubles_over = core::SteadyClock::now() + core::to_duration(m.over_s);
     m.job_failures(c);
     c.run(m.over_s + 150);
     expect_rules(c);
@@ -347,7 +347,7 @@
                         for (int i = 0; i < 10; ++i)
                           c.at(12 + 11 * i, [&c, i] { c.crash(c.busiest(), i % 3 == 0 ? 0.3 : 5); });
                         c.at(55, [&c] { c.state.outage = true; });
-                        c.at(63, [&c] { c.state.recover(core::Steady::now()); });
+                        c.at(63, [&c] { c.state.recover(core::SteadyClock::now()); });
                         c.at(40, [&c] { cancel_running(c, 2); });
                       }},
         FaultScenario{"key_value_store_slow_while_users_cancel_and_query", kShort, 100,
@@ -386,7 +386,7 @@
                           cancel_running(c, 4);
                         });
                         c.at(21, [&c] { c.state.outage = true; });
-                        c.at(21 + 47, [&c] { c.state.recover(core::Steady::now()); });
+                        c.at(21 + 47, [&c] { c.state.recover(core::SteadyClock::now()); });
                         c.at(34, [&c] { c.refused.clear(); });
                       }},
         FaultScenario{"cancelled_on_most_machines_of_a_partition_that_hang_past_cancel_s", kMiddle, 100,
@@ -468,7 +468,7 @@
       },
       [&](double s, std::uint32_t) {
         c.state.outage = true;
-        c.at(s, [&c] { c.state.recover(core::Steady::now()); });
+        c.at(s, [&c] { c.state.recover(core::SteadyClock::now()); });
       },
       [&](double s, std::uint32_t) {
         const auto node = c.busiest();
--- a/tests/app/services_test.cpp
+++ b/tests/app/services_test.cpp
@@ -96,7 +96,7 @@
     Cluster c(seed);
     load(c, 9, 30);
     services(c, 4);
-    c.troubles_over = core::Steady::now() + core::secs(120);
+    c.troubles_over = core::SteadyClock::now() + core::to_duration(120);
     GetParam().job_failures(c);
     c.run(200);
     expect_rules(c);
@@ -123,7 +123,7 @@
                                                        [](Cluster& c) {
                                                          c.at(25, [&c] { c.state.outage = true; });
                                                          c.at(45,
-                                                              [&c] { c.state.recover(core::Steady::now()); });
+                                                              [&c] { c.state.recover(core::SteadyClock::now()); });
                                                        },
                                                        0.02},
                                          FaultScenario{"a_machine_dies",
@@ -152,7 +152,7 @@
     Cluster c(seed, 3, 5);
     load(c, 24, 60);
     c.at(10, [&c] { c.submit(60, false, 0.1, 40, "red", "normal"); });
-    c.troubles_over = core::Steady::now() + core::secs(140);
+    c.troubles_over = core::SteadyClock::now() + core::to_duration(140);
     c.at(20, [&c] { c.announce({1000, 200, 1, 5}); });
     for (std::size_t n = 0; n < 3; ++n) c.at(21 + 5 * static_cast<double>(n), [&c, n] { c.crash(n, 1); });
     c.at(GetParam().at_s, [&c] {
--- a/tests/assignments/assignment_writer_test.cpp
+++ b/tests/assignments/assignment_writer_test.cpp
@@ -22,7 +22,7 @@
   writer.finish(transaction);
   EXPECT_LE(transaction.writes.size(), 4u);
   leader.apply(transaction);
-  for (const auto id : ids) EXPECT_EQ(leader.state.cache.placed(id), 4u);
+  for (const auto id : ids) EXPECT_EQ(leader.state.cache.placed_tasks(id), 4u);
 }
 
 struct SizeCase {
@@ -43,7 +43,7 @@
     EXPECT_LE(largest_value(transaction), 8192u);
     leader.apply(transaction);
   }
-  EXPECT_EQ(leader.state.cache.placed(id), GetParam().tasks);
+  EXPECT_EQ(leader.state.cache.placed_tasks(id), GetParam().tasks);
   // Every second task ends: the intervals of what is done are as many as can be.
   for (std::uint32_t round = 0; round < 8; ++round) {
     AssignmentWriter writer(leader.state, leader.partition);
@@ -55,10 +55,10 @@
     leader.apply(transaction);
   }
   if (!GetParam().gang) {
-    EXPECT_EQ(leader.state.cache.done(id), (GetParam().tasks + 1) / 2);
+    EXPECT_EQ(leader.state.cache.done_tasks(id), (GetParam().tasks + 1) / 2);
     EXPECT_EQ(WaitingTasks(leader.state.cache, id).count(leader.partition), 0u);
   }
-  EXPECT_EQ(leader.state.cache.placed(id), GetParam().tasks / 2);
+  EXPECT_EQ(leader.state.cache.placed_tasks(id), GetParam().tasks / 2);
 }
 INSTANTIATE_TEST_SUITE_P(Table, ShardSize,
                          testing::Values(SizeCase{"one_task", 1, false},
@@ -94,7 +94,7 @@
   writer.finish(transaction);
   leader.apply(transaction);
   EXPECT_TRUE(leader.state.cache.shard_assignments(over).empty());
-  EXPECT_EQ(leader.state.cache.placed(live), 1u);
+  EXPECT_EQ(leader.state.cache.placed_tasks(live), 1u);
 }
 
 TEST(AssignmentWriter, IsConditionalOnFencingTokenFenceAndShards) {
@@ -136,8 +136,8 @@
   EXPECT_EQ(transaction.writes[0].key, "ends/a.0");
   leader.apply(transaction);
   for (const auto id : ids) {
-    EXPECT_EQ(leader.state.cache.done(id), id == ids[0] ? 2u : 1u);
-    EXPECT_EQ(leader.state.cache.placed(id), id == ids[0] ? 98u : 99u);
+    EXPECT_EQ(leader.state.cache.done_tasks(id), id == ids[0] ? 2u : 1u);
+    EXPECT_EQ(leader.state.cache.placed_tasks(id), id == ids[0] ? 98u : 99u);
     EXPECT_FALSE(leader.state.cache.has_assignment(id, leader.partition, 7, 9));
   }
 }
@@ -186,13 +186,13 @@
       ASSERT_EQ(leader.state.cache.has_assignment(id, leader.partition, i, 9), i >= t + 3)
           << "task " << i << " after " << t;
   }
-  EXPECT_EQ(leader.state.cache.done(id), 150u);
-  EXPECT_EQ(leader.state.cache.placed(other), 10u);
+  EXPECT_EQ(leader.state.cache.done_tasks(id), 150u);
+  EXPECT_EQ(leader.state.cache.placed_tasks(other), 10u);
   for (const auto& update : all) reader.cache.apply(update);
   const auto read = *reader.names.jobs.find("req-1");
-  EXPECT_EQ(reader.cache.done(read), 150u);
-  EXPECT_EQ(reader.cache.placed(read), 0u);
-  EXPECT_EQ(reader.cache.placed(*reader.names.jobs.find("req-2")), 10u);
+  EXPECT_EQ(reader.cache.done_tasks(read), 150u);
+  EXPECT_EQ(reader.cache.placed_tasks(read), 0u);
+  EXPECT_EQ(reader.cache.placed_tasks(*reader.names.jobs.find("req-2")), 10u);
 }
 INSTANTIATE_TEST_SUITE_P(Table, TombstoneKeyOrder,
                          testing::Values(KeyOrderCase{"shards_before_tombstones", true},
@@ -242,7 +242,7 @@
     leader.apply(transaction);
   }
   std::size_t assignments = 0;
-  leader.state.cache.each_named_machine([&](core::MachineId, const auto& list) {
+  leader.state.cache.for_each_assigned_machine([&](core::MachineId, const auto& list) {
     EXPECT_EQ(list.size(), 2u);
     assignments += list.size();
   });
--- a/tests/assignments/limits_test.cpp
+++ b/tests/assignments/limits_test.cpp
@@ -58,8 +58,8 @@
     upgrade.commit(writer);
     expect_within(upgrade);
     for (std::size_t i = 0; i < ids.size(); ++i) {
-      EXPECT_EQ(upgrade.after.state.cache.done(ids[i]), done) << "step " << steps;
-      EXPECT_EQ(upgrade.after.state.cache.placed(ids[i]), kTasks - done) << "step " << steps;
+      EXPECT_EQ(upgrade.after.state.cache.done_tasks(ids[i]), done) << "step " << steps;
+      EXPECT_EQ(upgrade.after.state.cache.placed_tasks(ids[i]), kTasks - done) << "step " << steps;
     }
     EXPECT_EQ(upgrade.done_and_placed("req-3"), std::pair(done, kTasks - done)) << "step " << steps;
   }
@@ -261,15 +261,15 @@
                      300});
   AssignmentWriter writer(state, upgrade.after.partition);
   ASSERT_TRUE(writer.tombstones_too_long());
-  ASSERT_EQ(state.cache.done(left), 150u);
+  ASSERT_EQ(state.cache.done_tasks(left), 150u);
   auto more = upgrade.after.assignments(1, kAttempt);
   more[0].task = 399;
   ASSERT_TRUE(writer.add(left, more));
   PlannedTransaction transaction;
   writer.finish(transaction);
   for (const auto& write : transaction.writes) state.cache.apply({write.key, write.value, 301});
-  EXPECT_EQ(state.cache.done(left), 150u);
-  EXPECT_EQ(state.cache.placed(left), 1u);
+  EXPECT_EQ(state.cache.done_tasks(left), 150u);
+  EXPECT_EQ(state.cache.placed_tasks(left), 1u);
 }
 
 }  // namespace
--- a/tests/assignments/open_shards_test.cpp
+++ b/tests/assignments/open_shards_test.cpp
@@ -118,7 +118,7 @@
   EXPECT_EQ(step.writes.size(), GetParam().expected_shards);
   EXPECT_LE(largest_value(step), static_cast<std::size_t>(GetParam().value_kb * 1024));
   after.apply(step);
-  EXPECT_EQ(after.state.cache.placed(*after.state.names.jobs.find("req-1")), 80u);
+  EXPECT_EQ(after.state.cache.placed_tasks(*after.state.names.jobs.find("req-1")), 80u);
 }
 INSTANTIATE_TEST_SUITE_P(Table, ShardShrinkerTest,
                          testing::Values(ShrinkCase{"fits", 8, 5, 0}, ShrinkCase{"split_in_two", 2, 5, 2},
--- a/tests/assignments/record_history_test.cpp
+++ b/tests/assignments/record_history_test.cpp
@@ -111,8 +111,8 @@
       EXPECT_EQ(Upgrade::done_and_placed(*reader, job.name), std::pair(done, placed))
           << job.name << " " << step;
       const auto id = *upgrade_.after.state.names.jobs.find(job.name);
-      EXPECT_EQ(upgrade_.after.state.cache.done(id), done) << job.name << " " << step;
-      EXPECT_EQ(upgrade_.after.state.cache.placed(id), placed) << job.name << " " << step;
+      EXPECT_EQ(upgrade_.after.state.cache.done_tasks(id), done) << job.name << " " << step;
+      EXPECT_EQ(upgrade_.after.state.cache.placed_tasks(id), placed) << job.name << " " << step;
       if (!listed_) continue;
       EXPECT_EQ(upgrade_.shards_first.done(job.name), done) << job.name << " " << step;
       EXPECT_EQ(upgrade_.tombstones_first.done(job.name), done) << job.name << " " << step;
--- a/tests/assignments/recorder_plans_test.cpp
+++ b/tests/assignments/recorder_plans_test.cpp
@@ -111,8 +111,8 @@
   leader.apply(plan({placement(0)}).transaction);
   leader.state.fleet.observed_exits.insert({job, leader.partition, 0, kAttempt, true});
   leader.apply(plan({placement(1)}).transaction);
-  EXPECT_EQ(leader.state.cache.done(job), 1u);
-  EXPECT_EQ(leader.state.cache.placed(job), 1u);
+  EXPECT_EQ(leader.state.cache.done_tasks(job), 1u);
+  EXPECT_EQ(leader.state.cache.placed_tasks(job), 1u);
 }
 
 struct FenceCase {
@@ -158,7 +158,7 @@
   const std::string reason = GetParam().name;
   EXPECT_EQ(refusal_line("exits not recorded", "a.0", result),
             "exits not recorded partition=a.0 reason=" + reason + " failed_key=-");
-  result.failed = {"runs/a.0/3", "parts/a.0"};
+  result.failed_keys = {"runs/a.0/3", "parts/a.0"};
   EXPECT_EQ(refusal_line("exits not recorded", "a.0", result),
             "exits not recorded partition=a.0 reason=" + reason + " failed_key=runs/a.0/3");
 }
--- a/tests/assignments/upgrade.hpp
+++ b/tests/assignments/upgrade.hpp
@@ -61,7 +61,7 @@
   [[nodiscard]] static std::pair<std::uint32_t, std::uint32_t> done_and_placed(const ControllerState& reader,
                                                                                const std::string& name) {
     const auto id = *reader.names.jobs.find(name);
-    return {reader.cache.done(id), reader.cache.placed(id)};
+    return {reader.cache.done_tasks(id), reader.cache.placed_tasks(id)};
   }
   SinglePartition before, after;
   ProductionReader shards_first{before.state.names}, tombstones_first{before.state.names};
--- a/tests/autoscaling/scale_in_plan_test.cpp
+++ b/tests/autoscaling/scale_in_plan_test.cpp
@@ -11,8 +11,8 @@
 
 using assignments::SinglePartition;
 
-const core::TimePoint kNow{core::secs(10000)};
-core::TimePoint ago(double seconds) { return kNow - core::secs(seconds); }
+const core::TimePoint kNow{core::to_duration(10000)};
+core::TimePoint ago(double seconds) { return kNow - core::to_duration(seconds); }
 
 config::Settings settings() {
   auto s = assignments::single_partition_settings();
--- a/tests/autoscaling/scale_out_plan_test.cpp
+++ b/tests/autoscaling/scale_out_plan_test.cpp
@@ -11,7 +11,7 @@
 
 using assignments::SinglePartition;
 
-const core::TimePoint kNow{core::secs(10000)};
+const core::TimePoint kNow{core::to_duration(10000)};
 
 /// The partition "a.0", which we lead, and two machine types: "cpu.4" and, dearer, "gpu.1".
 struct Scene : SinglePartition {
@@ -29,7 +29,7 @@
     machine.spot = spot;
     machine.status = status;
     machine.has_heartbeat = machine.status == "running";
-    machine.first_seen = machine.starting_since = kNow - core::secs(30);
+    machine.first_seen = machine.starting_since = kNow - core::to_duration(30);
     return machine;
   }
   /// Tasks of one processor each.
@@ -135,7 +135,7 @@
                          {{kCpu, 1}}},
                     Case{"overdue_machine_takes_none",
                          [](Scene& s) {
-                           s.machine("m-1", 0, false, "starting").starting_since = kNow - core::secs(121);
+                           s.machine("m-1", 0, false, "starting").starting_since = kNow - core::to_duration(121);
                            s.demand(8);
                          },
                          {{kCpu, 2}}},
@@ -147,7 +147,7 @@
                          {{kCpu, 2}}},
                     Case{"backed_off_kind_is_passed_over",
                          [](Scene& s) {
-                           s.backoff.back_off(kCpu, kNow + core::secs(1));
+                           s.backoff.back_off(kCpu, kNow + core::to_duration(1));
                            s.demand(8);
                          },
                          {{kGpu, 1}}},
@@ -160,14 +160,14 @@
                     Case{"on_demand_runs_out",
                          [](Scene& s) {
                            for (const auto& kind : {kCpu, kGpu})
-                             s.backoff.back_off(kind, kNow + core::secs(1));
+                             s.backoff.back_off(kind, kNow + core::to_duration(1));
                            s.demand(8);
                          },
                          {}},
                     Case{"spot_work_makes_way",
                          [](Scene& s) {
                            for (const auto& kind : {kCpu, kGpu})
-                             s.backoff.back_off(kind, kNow + core::secs(1));
+                             s.backoff.back_off(kind, kNow + core::to_duration(1));
                            s.spot_work();
                            s.demand(8);
                          },
@@ -175,7 +175,7 @@
                     Case{"spare_spot_room_counts_as_relief",
                          [](Scene& s) {
                            for (const auto& kind : {kCpu, kGpu})
-                             s.backoff.back_off(kind, kNow + core::secs(1));
+                             s.backoff.back_off(kind, kNow + core::to_duration(1));
                            s.spot_work();
                            s.machine("m-1", 0, true, "running");
                            s.demand(8);
--- a/tests/controller/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -34,7 +34,7 @@
     ++revision;
     state.cache.apply({"members/perch-" + std::to_string(revision), boost::json::parse(record), revision});
   }
-  EXPECT_EQ(state.all_members_know(state::kStandingJobs), GetParam().known);
+  EXPECT_EQ(state.all_members_know(state::kServicesLevel), GetParam().known);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, AllMembersKnow,
@@ -47,11 +47,11 @@
   ControllerState state(settings(), {});
   auto& m = state.fleet.intern(state.names, "host-1");
   m.partition = core::PartitionId{0};
-  m.first_seen = core::TimePoint(core::secs(10));
-  state.leading_since[0] = core::TimePoint(core::secs(200));
-  EXPECT_DOUBLE_EQ(state.silent_s(m, core::TimePoint(core::secs(203))), 3);
-  m.last_heartbeat = core::TimePoint(core::secs(202));
-  EXPECT_DOUBLE_EQ(state.silent_s(m, core::TimePoint(core::secs(203))), 1);
+  m.first_seen = core::TimePoint(core::to_duration(10));
+  state.leading_since[0] = core::TimePoint(core::to_duration(200));
+  EXPECT_DOUBLE_EQ(state.silent_s(m, core::TimePoint(core::to_duration(203))), 3);
+  m.last_heartbeat = core::TimePoint(core::to_duration(202));
+  EXPECT_DOUBLE_EQ(state.silent_s(m, core::TimePoint(core::to_duration(203))), 1);
 }
 
 // An agent answered last keeps its tasks for a lease: 16.9 s in which cancellations may be unknown and then
@@ -68,12 +68,12 @@
   s.members = {{"perch-1", "a", {}}, {"perch-2", "a", {}}};
   ControllerState state(s, {});
   const auto& c = GetParam();
-  state.synchronized_at = core::TimePoint(core::secs(c.synchronized_s));
+  state.synchronized_at = core::TimePoint(core::to_duration(c.synchronized_s));
   for (std::size_t m = 0; m < 2; ++m)
-    state.cancellations_confirmed_at[m] = core::TimePoint(core::secs(c.confirmed_s[m]));
-  EXPECT_EQ(state.may_renew_leases(core::TimePoint(core::secs(c.now_s))), c.may_renew);
+    state.cancellations_confirmed_at[m] = core::TimePoint(core::to_duration(c.confirmed_s[m]));
+  EXPECT_EQ(state.may_renew_leases(core::TimePoint(core::to_duration(c.now_s))), c.may_renew);
   state.settings.nodes = 4;  // one more than the settings name: only the store shows what it has confirmed
-  EXPECT_EQ(state.may_renew_leases(core::TimePoint(core::secs(c.now_s))),
+  EXPECT_EQ(state.may_renew_leases(core::TimePoint(core::to_duration(c.now_s))),
             c.may_renew && c.now_s < c.synchronized_s + 16.9);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -109,7 +109,7 @@
 TEST_P(Usable, OnlyWhileItsAgentIsSeenToObey) {
   ControllerState state(settings(), {});
   state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
-  const core::TimePoint now(core::secs(100));
+  const core::TimePoint now(core::to_duration(100));
   auto& m = state.fleet.intern(state.names, "host-1");
   m.partition = core::PartitionId{0};
   m.has_heartbeat = true;
@@ -123,7 +123,7 @@
     testing::Values(UsableCase{"obeys", [](auto&) {}, true},
                     UsableCase{"under_an_older_token", [](auto& m) { m.fencing_token = 39; }, false},
                     UsableCase{"commands_may_not_reach_it",
-                               [](auto& m) { m.mark_unreachable(core::TimePoint(core::secs(99))); }, false},
+                               [](auto& m) { m.mark_unreachable(core::TimePoint(core::to_duration(99))); }, false},
                     UsableCase{"was_deleted", [](auto& m) { m.gone = true; }, false},
                     UsableCase{"silent", [](auto& m) { m.last_heartbeat = {}; }, false},
                     UsableCase{"termination_notice", [](auto& m) { m.termination_notice_s = 10; }, false}),
@@ -132,13 +132,13 @@
 TEST(ControllerState, NewLeaderUsesMachinesThatAnsweredItUntilTheyAreMissed) {
   ControllerState state(settings(), {});
   state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
-  state.leading_since[0] = core::TimePoint(core::secs(100));
+  state.leading_since[0] = core::TimePoint(core::to_duration(100));
   auto& m = state.fleet.intern(state.names, "host-1");
   m.partition = core::PartitionId{0};
   m.has_heartbeat = true;
   m.fencing_token = 40;
-  EXPECT_TRUE(state.usable(m, core::TimePoint(core::secs(108))));
-  EXPECT_FALSE(state.usable(m, core::TimePoint(core::secs(109))))
+  EXPECT_TRUE(state.usable(m, core::TimePoint(core::to_duration(108))));
+  EXPECT_FALSE(state.usable(m, core::TimePoint(core::to_duration(109))))
       << "its agent has sent no heartbeat by itself";
 }
 
--- a/tests/controller/runtime_test.cpp
+++ b/tests/controller/runtime_test.cpp
@@ -11,11 +11,11 @@
 // The simulated clock, and an event loop that is run up to each moment that it shows.
 class SimulatedTime : public testing::Test {
  protected:
-  void SetUp() override { core::Steady::simulate(now_); }
-  void TearDown() override { core::Steady::simulate(std::nullopt); }
+  void SetUp() override { core::SteadyClock::simulate(now_); }
+  void TearDown() override { core::SteadyClock::simulate(std::nullopt); }
   void advance(double seconds) {
-    now_ += core::secs(seconds);
-    core::Steady::simulate(now_);
+    now_ += core::to_duration(seconds);
+    core::SteadyClock::simulate(now_);
     // Timers are looked at once a poll: two in a row without work show that nothing is due.
     for (int idle = 0; idle < 2;) idle = io_.poll() > 0 ? 0 : idle + 1;
     io_.restart();
@@ -25,7 +25,7 @@
     advance(0);
   }
 
-  core::TimePoint now_{core::secs(1000)};
+  core::TimePoint now_{core::to_duration(1000)};
   asio::io_context io_{1};
 };
 
@@ -42,14 +42,14 @@
 
 TEST_F(RuntimeTest, JitterIsOneFifthAtMostAndSpreadOverAllOfThat) {
   Runtime runtime(io_, 7);
-  const core::Steady::duration least = core::secs(8), most = core::secs(12);
+  const core::SteadyClock::duration least = core::to_duration(8), most = core::to_duration(12);
   int low = 0, high = 0;
   for (int i = 0; i < 1000; ++i) {
     const auto pause = runtime.jitter(10);
     ASSERT_GE(pause, least);
     ASSERT_LE(pause, most);
-    low += pause < core::secs(8.5) ? 1 : 0;
-    high += pause > core::secs(11.5) ? 1 : 0;
+    low += pause < core::to_duration(8.5) ? 1 : 0;
+    high += pause > core::to_duration(11.5) ? 1 : 0;
   }
   EXPECT_GT(low, 0);
   EXPECT_GT(high, 0);
--- a/tests/coordination/leadership_test.cpp
+++ b/tests/coordination/leadership_test.cpp
@@ -8,7 +8,7 @@
 constexpr core::PartitionId kPartition{3};
 constexpr double kNowS = 1000;
 
-core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
+core::TimePoint at(double seconds) { return core::TimePoint(core::to_duration(seconds)); }
 
 // This controller is perch-2; the partition prefers perch-1, perch-2, perch-3 in this order.
 struct Case {
--- a/tests/coordination/peer_table_test.cpp
+++ b/tests/coordination/peer_table_test.cpp
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
+core::TimePoint at(double seconds) { return core::TimePoint(core::to_duration(seconds)); }
 
 // Answers every frame with `answer`, and stores the last frame sent.
 struct FixedLink : peer::Link {
@@ -26,8 +26,8 @@
 
 class PeerTableTest : public testing::Test {
  protected:
-  PeerTableTest() { core::Steady::simulate(at(1000)); }
-  ~PeerTableTest() override { core::Steady::simulate(std::nullopt); }
+  PeerTableTest() { core::SteadyClock::simulate(at(1000)); }
+  ~PeerTableTest() override { core::SteadyClock::simulate(std::nullopt); }
 
   static std::vector<std::unique_ptr<peer::Link>> make_links(std::vector<FixedLink*>& fixed) {
     std::vector<std::unique_ptr<peer::Link>> links;
@@ -57,8 +57,8 @@
 };
 
 TEST_F(PeerTableTest, RelaysThroughPeerWithFreshView) {
-  peers.heard(0, at(1000), at(997.9));
-  peers.heard(1, at(1000), at(998.1));
+  peers.record_answer(0, at(1000), at(997.9));
+  peers.record_answer(1, at(1000), at(998.1));
   links[1]->answer = peer::encode(peer::Reply{200, "done"});
   const auto response = relay();
   EXPECT_EQ(response.status, 200);
@@ -70,39 +70,39 @@
 
 // 503 says that the request was certainly not executed; status 0 would leave that open.
 TEST_F(PeerTableTest, AnswersUnavailableWithoutSendingIfNoPeerHasFreshView) {
-  peers.heard(0, at(1000), at(997.9));
+  peers.record_answer(0, at(1000), at(997.9));
   EXPECT_EQ(relay().status, 503);
   EXPECT_FALSE(links[0]->sent);
   EXPECT_FALSE(links[1]->sent);
 }
 
 TEST_F(PeerTableTest, LostAnswerHasStatusZero) {
-  peers.heard(0, at(1000), at(1000));
+  peers.record_answer(0, at(1000), at(1000));
   EXPECT_EQ(relay().status, 0);
   EXPECT_TRUE(links[0]->sent);
 }
 
 TEST_F(PeerTableTest, ViewAgesUntilPeerAnswersAgain) {
-  peers.heard(1, at(1000), at(1000));
-  core::Steady::simulate(at(1001.9));
-  EXPECT_EQ(peers.in_touch_with_store(), 1u);
-  core::Steady::simulate(at(1002.1));
-  EXPECT_EQ(peers.in_touch_with_store(), std::nullopt);
+  peers.record_answer(1, at(1000), at(1000));
+  core::SteadyClock::simulate(at(1001.9));
+  EXPECT_EQ(peers.find_peer_with_fresh_state(), 1u);
+  core::SteadyClock::simulate(at(1002.1));
+  EXPECT_EQ(peers.find_peer_with_fresh_state(), std::nullopt);
 }
 
 // Answers may arrive in a different order than their requests were sent.
 TEST_F(PeerTableTest, OlderViewDoesNotReplaceNewerOne) {
-  peers.heard(0, at(1000), at(999.5));
-  peers.heard(0, at(1000), at(990));
-  EXPECT_EQ(peers.in_touch_with_store(), 0u);
+  peers.record_answer(0, at(1000), at(999.5));
+  peers.record_answer(0, at(1000), at(990));
+  EXPECT_EQ(peers.find_peer_with_fresh_state(), 0u);
 }
 
 TEST_F(PeerTableTest, PeerWithStaleViewCountsAsAnswering) {
-  EXPECT_FALSE(peers.any_heard_within(3, at(1000)));
-  peers.heard(1, at(1000), at(900));
-  EXPECT_TRUE(peers.any_heard_within(3, at(1002.9)));
-  EXPECT_FALSE(peers.any_heard_within(3, at(1003.1)));
-  EXPECT_EQ(peers.in_touch_with_store(), std::nullopt);
+  EXPECT_FALSE(peers.any_answered_within(3, at(1000)));
+  peers.record_answer(1, at(1000), at(900));
+  EXPECT_TRUE(peers.any_answered_within(3, at(1002.9)));
+  EXPECT_FALSE(peers.any_answered_within(3, at(1003.1)));
+  EXPECT_EQ(peers.find_peer_with_fresh_state(), std::nullopt);
 }
 
 }  // namespace
--- a/tests/core/in_flight_test.cpp
+++ b/tests/core/in_flight_test.cpp
@@ -10,8 +10,8 @@
 TEST(InFlightCounter, CountsSlotsUntilTheyAreDestroyed) {
   InFlightCounter counter;
   {
-    const auto first = counter.take();
-    auto second = counter.take();
+    const auto first = counter.acquire();
+    auto second = counter.acquire();
     EXPECT_EQ(counter.count(), 2u);
     const auto moved = std::move(second);
     EXPECT_EQ(counter.count(), 2u);
@@ -22,7 +22,7 @@
 // Coroutines that are destroyed with the event loop may outlive the component that started them.
 TEST(InFlightCounter, SlotMayOutliveCounter) {
   std::optional<InFlightCounter> counter(std::in_place);
-  const auto place = counter->take();
+  const auto slot = counter->acquire();
   counter.reset();
 }
 
--- a/tests/gateway/admission_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -9,7 +9,7 @@
 
 using controller::ControllerState;
 
-const core::TimePoint kNow{core::secs(1000)};
+const core::TimePoint kNow{core::to_duration(1000)};
 constexpr double kWallS = 1.7e9;
 
 config::Settings two_zones() {
--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -16,8 +16,8 @@
 using wire::Command;
 
 constexpr std::uint64_t kToken = 40;  // our fencing token for partition a.0
-const core::TimePoint kNow{core::secs(1000)};
-core::TimePoint ago(double seconds) { return kNow - core::secs(seconds); }
+const core::TimePoint kNow{core::to_duration(1000)};
+core::TimePoint ago(double seconds) { return kNow - core::to_duration(seconds); }
 
 // We lead partition a.0. Machine host-100000 obeys us in incarnation 1, and task 0 of req-1 is assigned to
 // it.
@@ -189,7 +189,7 @@
   EXPECT_EQ(leader.machine->sequence, 5u);
 }
 
-core::Steady::duration exactly(double seconds) { return core::secs(seconds); }
+core::SteadyClock::duration exactly(double seconds) { return core::to_duration(seconds); }
 
 TEST(Stops, AreRepeatedWithGrowingPauses) {
   Leader leader;
@@ -197,7 +197,7 @@
   leader.cancel();
   std::vector<double> sent_at;
   for (double s = 0; s < 32; s += 0.5)
-    if (!take_due_stops(leader.state, 0, kNow + core::secs(s), exactly).empty()) sent_at.push_back(s);
+    if (!take_due_stops(leader.state, 0, kNow + core::to_duration(s), exactly).empty()) sent_at.push_back(s);
   EXPECT_EQ(sent_at, (std::vector<double>{0, 1, 3, 7, 15, 23, 31}));
 }
 
@@ -232,11 +232,11 @@
 TEST(InFlight, CountsUntilTheTokenIsGone) {
   auto counter = std::make_unique<core::InFlightCounter>();
   {
-    const auto first = counter->take();
+    const auto first = counter->acquire();
     EXPECT_EQ(counter->count(), 1u);
   }
   EXPECT_EQ(counter->count(), 0u);
-  const auto outlives = counter->take();
+  const auto outlives = counter->acquire();
   counter.reset();
 }
 
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -66,7 +66,7 @@
   for (const auto& n : c.nodes) free[n.id] = n.free;
   for (const auto& p : plan.placements) {
     ++placed[p.demand];
-    EXPECT_TRUE(c.demands[p.demand].need.fits(free[p.machine]));
+    EXPECT_TRUE(c.demands[p.demand].need.fits_in(free[p.machine]));
     free[p.machine] -= c.demands[p.demand].need;
   }
   EXPECT_EQ(placed, c.placed);
--- a/tests/scheduling/cluster_load_test.cpp
+++ b/tests/scheduling/cluster_load_test.cpp
@@ -13,7 +13,7 @@
 using assignments::SinglePartition;
 
 constexpr core::PartitionId kOurs{0}, kOther{1};  // a.0 and b.0
-const core::TimePoint kNow(core::secs(100));
+const core::TimePoint kNow(core::to_duration(100));
 
 config::Settings two_zones() {
   auto settings = single_partition_settings();
@@ -70,9 +70,9 @@
   machine.has_heartbeat = true;
   machine.fencing_token = p.state.fencing_token(kOurs);
   machine.last_heartbeat = kNow;
-  EXPECT_DOUBLE_EQ(partition_capacities(p.state, spec_of(2), kNow + core::secs(0.4))[0].free, 0)
+  EXPECT_DOUBLE_EQ(partition_capacities(p.state, spec_of(2), kNow + core::to_duration(0.4))[0].free, 0)
       << "the load is kept for half a second";
-  EXPECT_DOUBLE_EQ(partition_capacities(p.state, spec_of(2), kNow + core::secs(0.5))[0].free, 4);
+  EXPECT_DOUBLE_EQ(partition_capacities(p.state, spec_of(2), kNow + core::to_duration(0.5))[0].free, 4);
 }
 
 TEST(ClusterLoad, WaitingTasksAreBacklogInTasksOfTheJobThatAsks) {
--- a/tests/scheduling/preemption_test.cpp
+++ b/tests/scheduling/preemption_test.cpp
@@ -11,7 +11,7 @@
 using assignments::PlannedTransaction;
 using assignments::SinglePartition;
 
-const core::TimePoint kNow(core::secs(1000));
+const core::TimePoint kNow(core::to_duration(1000));
 
 jobs::JobSpec spec(jobs::Shape shape, double checkpoint_s, double save_s, double expected_run_s) {
   jobs::JobSpec spec;
--- a/tests/scheduling/quota_sharing_test.cpp
+++ b/tests/scheduling/quota_sharing_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr core::PartitionId kOurs{0};  // a.0; b.0 has another leader
 constexpr core::TeamId kTeam{0};
-const core::TimePoint kNow(core::secs(100));
+const core::TimePoint kNow(core::to_duration(100));
 
 core::Resources gpus(double n) { return {0, n, 0}; }
 
@@ -80,7 +80,7 @@
   p.state.cache.apply({"teams/red", to_json(c.before), 51});
   p.state.cache.apply({"fence/a.0", boost::json::value(1), 52});
   p.state.fence_due[kOurs.index] = c.fence_due ? 1 : 0;
-  const core::TimePoint withdrawn_at(core::secs(c.withdrawn_s));
+  const core::TimePoint withdrawn_at(core::to_duration(c.withdrawn_s));
   const std::vector<QuotaShortage> shortages{
       {kOurs, kTeam, gpus(c.used), gpus(c.lacking), gpus(c.team_used)},
       {core::PartitionId{1}, kTeam, gpus(0), gpus(700), gpus(c.team_used)}};  // not ours to change
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -14,7 +14,7 @@
 using jobs::Range;
 
 constexpr core::PartitionId kOurs{0}, kOther{1};  // a.0 and b.0
-const core::TimePoint kNow(core::secs(100));
+const core::TimePoint kNow(core::to_duration(100));
 
 struct MoveCase {
   const char* name;
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -11,7 +11,7 @@
 using assignments::PlannedTransaction;
 using assignments::SinglePartition;
 
-const core::TimePoint kNow(core::secs(1000));
+const core::TimePoint kNow(core::to_duration(1000));
 
 // Zones a and b with one partition each, of which a.0 is ours. One job of six tasks: three in each partition.
 struct TwoZones : testing::Test {
@@ -87,7 +87,7 @@
   EXPECT_DOUBLE_EQ(limit_in_partition(0, 0), 0);
   EXPECT_DOUBLE_EQ(limit_in_partition(8, 2), 2);
   EXPECT_GT(limit_in_partition(8, 0), 0);
-  EXPECT_LT(limit_in_partition(8, 0), core::Resources::kSlack);
+  EXPECT_LT(limit_in_partition(8, 0), core::Resources::kRoundingTolerance);
 }
 
 TEST_F(TwoZones, NodeShowsCordonReservationAndFetches) {
@@ -96,17 +96,17 @@
   auto& machine = state.fleet.intern(state.names, "host-1");
   const auto id = job(jobs::Shape::standing, false, false);
   place(id, ours, 0);
-  machine.cordoned_until = kNow + core::secs(1);
+  machine.cordoned_until = kNow + core::to_duration(1);
   machine.reserved_for = core::JobId{9};
-  machine.reserved_ready = kNow + core::secs(7);
-  machine.reserved_until = kNow + core::secs(20);
+  machine.reserved_ready = kNow + core::to_duration(7);
+  machine.reserved_until = kNow + core::to_duration(20);
   const auto before = node_of(state, machine, type, kNow);
   EXPECT_EQ(before.fetching, 1u);
   EXPECT_EQ(before.replicas, (std::vector<core::JobId>{id}));
   EXPECT_EQ(before.reserved_for, core::JobId{9});
   EXPECT_DOUBLE_EQ(before.reserved_in_s, 7);
   EXPECT_GT(before.risk_s, 0);
-  const auto later = node_of(state, machine, type, kNow + core::secs(20));
+  const auto later = node_of(state, machine, type, kNow + core::to_duration(20));
   EXPECT_FALSE(later.reserved_for.valid());
   EXPECT_DOUBLE_EQ(later.risk_s, 0);
 }
@@ -127,7 +127,7 @@
   if (c.machine_types_known) state.fleet.machine_types.emplace_back();
   if (!c.leads) state.incarnation = 8;
   state.fence_due[0] = c.fence_due;
-  state.synchronized_at = kNow - core::secs(c.cache_age_s);
+  state.synchronized_at = kNow - core::to_duration(c.cache_age_s);
   EXPECT_EQ(build_round_view(state, 2, kNow).has_value(), c.decides);
 }
 INSTANTIATE_TEST_SUITE_P(Table, RoundDecides,
--- a/tests/sim/agents.cpp
+++ b/tests/sim/agents.cpp
@@ -80,7 +80,7 @@
   }
   task.state = "running";
   if (job.standing) job.run_s = kForeverS;
-  task.next = now_ + core::secs(job.done.contains(task.number) ? 0 : job.run_s + job.apart_s * task.number);
+  task.next = now_ + core::to_duration(job.done.contains(task.number) ? 0 : job.run_s + job.apart_s * task.number);
   agent.changed = true;
 }
 
@@ -100,7 +100,7 @@
     const auto it = agents.find(name);
     if (it == agents.end() || it->second.dead || it->second.hanging) return;
     it->second.in_flight = false;
-    it->second.next_report = now_ + core::secs(settings_.report_s);
+    it->second.next_report = now_ + core::to_duration(settings_.report_s);
     take_heartbeat_answer(it->second, sent, incarnation, response);
   };
   if (blocked) {
@@ -133,7 +133,7 @@
     agent.fencing_token = fencing_token;
     agent.last_answered = sent;
     agent.execute(answer.at("orders").as_array(), jobs, now_);
-    if (agent.changed) agent.next_report = now_ + core::secs(kSoonS);
+    if (agent.changed) agent.next_report = now_ + core::to_duration(kSoonS);
     return;
   }
   if (status == http::status::kMisdirectedRequest) {
@@ -142,7 +142,7 @@
       const auto node = static_cast<std::size_t>(leader->as_string().back() - '0');
       if (node != agent.node) {
         agent.node = node;
-        agent.next_report = now_ + core::secs(kRedirectedS);
+        agent.next_report = now_ + core::to_duration(kRedirectedS);
         return;
       }
     }
--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -20,10 +20,10 @@
 
 Cluster::Cluster(std::uint32_t seed, int controllers, int machines_per_zone, Timing timing)
     : random(seed),
-      now_(core::secs(1000)),
+      now_(core::to_duration(1000)),
       nodes_(static_cast<std::size_t>(controllers)),
       boots_(nodes_.size(), 0) {
-  core::Steady::simulate(now_);
+  core::SteadyClock::simulate(now_);
   settings_.zones = {"a", "b"};
   settings_.nodes = controllers;
   settings_.cloud = {kCloudHost, 1};
@@ -50,7 +50,7 @@
                 static_cast<unsigned long long>(traffic_.messages()));
   for (auto& n : nodes_)
     if (n) graveyard().push_back(std::shared_ptr<Node>(std::move(n)));
-  core::Steady::simulate(std::nullopt);
+  core::SteadyClock::simulate(std::nullopt);
 }
 
 void Cluster::boot(std::size_t node) {
@@ -71,18 +71,18 @@
 double Cluster::delay() { return std::uniform_real_distribution<double>(0.001, faults.max_delay_s)(random); }
 bool Cluster::chance(double p) { return p > 0 && std::uniform_real_distribution<double>(0, 1)(random) < p; }
 void Cluster::post(double delay_s, std::function<void()> what) {
-  events_.emplace(now_ + core::secs(delay_s), std::move(what));
+  events_.emplace(now_ + core::to_duration(delay_s), std::move(what));
 }
 void Cluster::at(double seconds, std::function<void()> what) { post(seconds, std::move(what)); }
 
 void Cluster::run(double seconds) {
-  const auto end = now_ + core::secs(seconds);
+  const auto end = now_ + core::to_duration(seconds);
   while (now_ < end) step();
 }
 
 void Cluster::step() {
   now_ += kStep;
-  core::Steady::simulate(now_);
+  core::SteadyClock::simulate(now_);
   while (!events_.empty() && events_.begin()->first <= now_) {
     auto what = std::move(events_.begin()->second);
     events_.erase(events_.begin());
--- a/tests/sim/rules.cpp
+++ b/tests/sim/rules.cpp
@@ -43,7 +43,7 @@
 void Cluster::count_replicas() {
   constexpr double kGraceS = 5, kStepS = 0.01;
   for (const auto& [id, job] : jobs) {
-    if (!job.standing || !job.accepted || job.asked_cancel || core::since(job.accepted_at, now_) < kGraceS)
+    if (!job.standing || !job.accepted || job.asked_cancel || core::seconds_between(job.accepted_at, now_) < kGraceS)
       continue;
     std::size_t running = 0;
     for_each_task([&](const Agent& agent, const Task& task) {
@@ -61,13 +61,13 @@
     if (agent.dead || !task.on_machine()) return;
     const auto& job = jobs.at(task.job);
     used[job.team] += job.gpus;
-    if (job.told_cancelled && core::since(*job.told_cancelled, now_) > settings_.cancel_s)
+    if (job.told_cancelled && core::seconds_between(*job.told_cancelled, now_) > settings_.cancel_s)
       broken.push_back("ran_cancelled " + task.job);
   });
   constexpr double kLongestSilenceS = 75;
   for (const auto& [id, job] : jobs)
     if (job.accepted && !job.asked_cancel &&
-        core::since(std::max(job.answered, troubles_over), now_) > kLongestSilenceS)
+        core::seconds_between(std::max(job.answered, troubles_over), now_) > kLongestSilenceS)
       broken.push_back("forgotten " + id + ": no question about it is answered");
   for (const auto& team : settings_.teams)
     if (used[team.name] > team.gpus_max + kRounding) broken.push_back("quota " + team.name);
@@ -84,7 +84,7 @@
   for (const auto& [id, job] : jobs) {
     if (!could_start(id, job, room)) {
       fits_since_.erase(id);
-    } else if (core::since(fits_since_.try_emplace(id, now_).first->second, now_) > kLongestWaitS) {
+    } else if (core::seconds_between(fits_since_.try_emplace(id, now_).first->second, now_) > kLongestWaitS) {
       broken.push_back("left waiting " + id);
     }
   }
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -45,7 +45,7 @@
 
 void StateService::recover(TimePoint now) {
   outage = false;
-  for (auto& [_, h] : store_leases_) h.ends = now + core::secs(h.ttl_s);
+  for (auto& [_, h] : store_leases_) h.ends = now + core::to_duration(h.ttl_s);
 }
 
 std::size_t StateService::changes_of(const std::string& prefix) const {
@@ -130,14 +130,14 @@
 }
 
 Answer StateService::grant_lease(double ttl_s, TimePoint now) {
-  store_leases_[next_store_lease_] = {now + core::secs(ttl_s), ttl_s};
+  store_leases_[next_store_lease_] = {now + core::to_duration(ttl_s), ttl_s};
   return reply(http::status::kOk, {{"hold", next_store_lease_++}});
 }
 
 Answer StateService::renew_lease(std::uint64_t store_lease, TimePoint now) {
   const auto it = store_leases_.find(store_lease);
   if (it == store_leases_.end()) return {http::status::kNotFound, "{}"};
-  it->second.ends = now + core::secs(it->second.ttl_s);
+  it->second.ends = now + core::to_duration(it->second.ttl_s);
   return {http::status::kOk, "{}"};
 }
 
@@ -186,7 +186,7 @@
       if (it != tasks.end() && it->second.attempt == attempt) continue;
       if (it != tasks.end() && it->second.state != "ended") continue;  // in_use
       Task t{key.first, key.second, attempt, "pulling", "", false, {}, 0};
-      t.next = now + core::secs(jobs.at(key.first).fetch_s);
+      t.next = now + core::to_duration(jobs.at(key.first).fetch_s);
       tasks[key] = t;
       changed = true;
     } else if (it == tasks.end() || it->second.attempt != attempt) {
@@ -197,7 +197,7 @@
       const double save = jobs.at(key.first).save_s;
       if (it->second.state == "running" && grace >= save) {
         it->second.state = "flushing";
-        it->second.next = now + core::secs(save);
+        it->second.next = now + core::to_duration(save);
       } else if (it->second.state != "flushing" || grace <= 0) {
         it->second.state = "ended";
         it->second.cause = "halted";
@@ -221,7 +221,7 @@
 }
 
 void Agent::expire(double lease_s, TimePoint now) {
-  if (core::since(last_answered, now) <= lease_s) return;
+  if (core::seconds_between(last_answered, now) <= lease_s) return;
   tasks.clear();
   ++agent_incarnation;
   last_answered = now;
@@ -232,7 +232,7 @@
   char name[32];
   std::snprintf(name, sizeof name, "host-%06d", next_);
   const std::string endpoint = "10.1.0." + std::to_string(next_ + 1) + ":9000";
-  hosts[name] = {name, endpoint, "g4", zone, false, now, now + core::secs(boot_s), false};
+  hosts[name] = {name, endpoint, "g4", zone, false, now, now + core::to_duration(boot_s), false};
   ++next_;
   return name;
 }
@@ -247,7 +247,7 @@
                                {"hall", h.zone},
                                {"loaners", h.spot},
                                {"status", status},
-                               {"heldS", core::since(h.rented, now)}});
+                               {"heldS", core::seconds_between(h.rented, now)}});
   }
   return {{"perches", out}, {"hasNext", false}};
 }
@@ -290,7 +290,7 @@
   // The list lags by three seconds.
   lists_.emplace_back(now, list(now));
   while (lists_.size() > 1 &&
-         (lists_[1].first + core::secs(3) <= now || lists_[0].first + core::secs(6) < now))
+         (lists_[1].first + core::to_duration(3) <= now || lists_[0].first + core::to_duration(6) < now))
     lists_.pop_front();
   return reply(http::status::kOk, lists_.front().second);
 }
--- a/tests/state/key_value_store_test.cpp
+++ b/tests/state/key_value_store_test.cpp
@@ -175,7 +175,9 @@
     ScriptedNetwork network;
     KeyValueStore store(network, make_settings(rps, 16));
     EXPECT_LE(store.max_writes(), 16u);
-    EXPECT_TRUE(store.spend(static_cast<int>(store.max_writes()), KeyValueStore::For::records)) << rps;
+    EXPECT_TRUE(
+        store.try_spend_writes(static_cast<int>(store.max_writes()), KeyValueStore::WritePurpose::records))
+        << rps;
   }
 }
 
@@ -185,28 +187,28 @@
   for (const double rps : {20.0, 50.0}) {
     ScriptedNetwork network;
     KeyValueStore leader(network, make_settings(rps, 16)), other(network, make_settings(rps, 16));
-    leader.use_share_of_writes(1.0 / 2);
-    other.use_share_of_writes(0.25 / 3);
-    EXPECT_TRUE(leader.spend(6, KeyValueStore::For::records)) << rps;
-    while (leader.spend(1, KeyValueStore::For::records)) continue;
-    EXPECT_TRUE(leader.spend(2, KeyValueStore::For::users)) << rps;
+    leader.set_write_share(1.0 / 2);
+    other.set_write_share(0.25 / 3);
+    EXPECT_TRUE(leader.try_spend_writes(6, KeyValueStore::WritePurpose::records)) << rps;
+    while (leader.try_spend_writes(1, KeyValueStore::WritePurpose::records)) continue;
+    EXPECT_TRUE(leader.try_spend_writes(2, KeyValueStore::WritePurpose::user_requests)) << rps;
     int granted_writes = 0;
-    while (other.spend(1, KeyValueStore::For::users)) ++granted_writes;
+    while (other.try_spend_writes(1, KeyValueStore::WritePurpose::user_requests)) ++granted_writes;
     EXPECT_GE(granted_writes, 4) << "submissions that arrive together";
     EXPECT_LE(granted_writes, rps / 4);
   }
 }
 
 TEST(RateLimiter, KeepsTheReserveAndRefills) {
-  const auto start = core::TimePoint(core::secs(100));
+  const auto start = core::TimePoint(core::to_duration(100));
   RateLimiter limiter(10, 10, start);
-  EXPECT_FALSE(limiter.take(9, 0.2, start));
-  EXPECT_TRUE(limiter.take(8, 0.2, start));
-  EXPECT_FALSE(limiter.take(1, 0.2, start));
-  EXPECT_TRUE(limiter.take(2, 0, start));  // callers without a reserve may use all of it
-  EXPECT_TRUE(limiter.take(5, 0, start + core::secs(0.5)));
-  limiter.refused(start + core::secs(5));
-  EXPECT_FALSE(limiter.take(1, 0, start + core::secs(5)));
+  EXPECT_FALSE(limiter.try_take(9, 0.2, start));
+  EXPECT_TRUE(limiter.try_take(8, 0.2, start));
+  EXPECT_FALSE(limiter.try_take(1, 0.2, start));
+  EXPECT_TRUE(limiter.try_take(2, 0, start));  // callers without a reserve may use all of it
+  EXPECT_TRUE(limiter.try_take(5, 0, start + core::to_duration(0.5)));
+  limiter.drain(start + core::to_duration(5));
+  EXPECT_FALSE(limiter.try_take(1, 0, start + core::to_duration(5)));
 }
 
 }  // namespace
--- a/tests/state/membership_test.cpp
+++ b/tests/state/membership_test.cpp
@@ -52,7 +52,7 @@
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST(StateFollower, ReadsAllRecordsOnlyAtStartAndAfterALongGap) {
-  const auto at = [](double s) { return core::TimePoint(core::secs(s)); };
+  const auto at = [](double s) { return core::TimePoint(core::to_duration(s)); };
   EXPECT_TRUE(needs_full_load(false, {}, at(100)));
   EXPECT_TRUE(needs_full_load(false, at(99), at(100))) << "the store no longer keeps the changes";
   EXPECT_FALSE(needs_full_load(true, {}, at(100))) << "all pages read, no changes yet";
--- a/tests/state/records_test.cpp
+++ b/tests/state/records_test.cpp
@@ -22,9 +22,9 @@
       {keys::job("req-1"), Table::jobs, "req-1", "jobs/req-1"},
       {keys::shard("a.0", "3"), Table::shards, "a.0/3", "runs/a.0/3"},
       {keys::tombstones("a.0"), Table::tombstones, "a.0", "ends/a.0"},
-      {keys::partition("a.0"), Table::leadership, "a.0", "parts/a.0"},
+      {keys::leadership("a.0"), Table::leadership, "a.0", "parts/a.0"},
       {keys::member("perch-1"), Table::members, "perch-1", "members/perch-1"},
-      {keys::team("red"), Table::quotas, "red", "teams/red"},
+      {keys::quota("red"), Table::quotas, "red", "teams/red"},
       {keys::fence("a.0"), Table::fences, "a.0", "fence/a.0"},
       {keys::usage("a.0"), Table::usage, "a.0", "usage/a.0"}};
   for (const auto& [key, table, name, stored] : cases) {
@@ -39,10 +39,10 @@
   const std::string text = R"({"inc":71,"level":2})";
   const auto member = decode_member(json::parse(text), 12);
   EXPECT_EQ(member.incarnation, 71u);
-  EXPECT_EQ(member.level, 2u);
+  EXPECT_EQ(member.record_level, 2u);
   EXPECT_EQ(member.revision, 12u);
   EXPECT_EQ(json::serialize(encode(member)), text);
-  EXPECT_EQ(decode_member(json::parse(R"({"inc":3})"), 1).level, 0u)
+  EXPECT_EQ(decode_member(json::parse(R"({"inc":3})"), 1).record_level, 0u)
       << "written by a build without record levels";
 }
 
--- a/tests/state/state_cache_test.cpp
+++ b/tests/state/state_cache_test.cpp
@@ -29,8 +29,8 @@
   fixture.cache.apply({"runs/a.0/0", shard(kPlaced), 10});
   fixture.cache.apply({"runs/a.0/0", shard(kDone), 12});
   fixture.cache.apply({"runs/a.0/0", shard(kPlaced), 10});
-  EXPECT_EQ(fixture.cache.done(core::JobId{0}), 1u);
-  EXPECT_EQ(fixture.cache.placed(core::JobId{0}), 0u);
+  EXPECT_EQ(fixture.cache.done_tasks(core::JobId{0}), 1u);
+  EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 0u);
 }
 
 TEST(StateCache, OlderValueDoesNotRestoreDeletedKey) {
@@ -39,10 +39,10 @@
   fixture.cache.apply({"runs/a.0/0", shard(kPlaced), 10});
   fixture.cache.apply({"runs/a.0/0", std::nullopt, 12});
   fixture.cache.apply({"runs/a.0/0", shard(kPlaced), 11});
-  EXPECT_EQ(fixture.cache.placed(core::JobId{0}), 0u);
+  EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 0u);
   fixture.cache.synchronized(12);
   fixture.cache.apply({"runs/a.0/0", shard(kPlacedAgain), 13});
-  EXPECT_EQ(fixture.cache.placed(core::JobId{0}), 1u);
+  EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 1u);
 }
 
 // Holds whichever of the two records is read first, and ends when the assignment is gone.
@@ -91,8 +91,8 @@
   // The job has another entry in a second shard of the partition; both count.
   fixture.cache.apply({"runs/a.0/1", shard(R"({"p":[[8,[["m",1,[1,2]]]]],"d":[[3,5]]})"), 11});
   EXPECT_EQ(fixture.cache.on_machine(machine).size(), 3u);
-  EXPECT_EQ(fixture.cache.placed(core::JobId{0}), 3u);
-  EXPECT_EQ(fixture.cache.done(core::JobId{0}), 2u);
+  EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 3u);
+  EXPECT_EQ(fixture.cache.done_tasks(core::JobId{0}), 2u);
   fixture.cache.apply({"runs/a.0/0", parse(R"({"jobs":{}})"), 12});
   EXPECT_EQ(fixture.cache.on_machine(machine).size(), 2u);
 }
@@ -110,11 +110,11 @@
     CacheFixture fixture;
     fixture.cache.apply({"runs/a.0/0", shard(R"({"p":[[7,[["m",1,[0,1]]]]],"d":[]})"), 10});
     fixture.cache.apply({"ends/a.0", parse(R"({"0":{"req-1":[[0,7,0,1]]}})"), 11});
-    EXPECT_EQ(fixture.cache.done(core::JobId{0}), 1u);
-    EXPECT_EQ(fixture.cache.placed(core::JobId{0}), 1u);
+    EXPECT_EQ(fixture.cache.done_tasks(core::JobId{0}), 1u);
+    EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 1u);
     for (const auto& update : moved) fixture.cache.apply(update);
-    EXPECT_EQ(fixture.cache.done(core::JobId{0}), 1u) << "read first: " << moved.front().key;
-    EXPECT_EQ(fixture.cache.placed(core::JobId{0}), 1u);
+    EXPECT_EQ(fixture.cache.done_tasks(core::JobId{0}), 1u) << "read first: " << moved.front().key;
+    EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 1u);
     EXPECT_FALSE(fixture.cache.shard(core::ShardId{0}).needs_tombstones());
   } while (std::next_permutation(moved.begin(), moved.end(), by_key));
 }
@@ -122,20 +122,20 @@
 TEST(StateCache, UnreadableRecordIsNotTreatedAsAbsent) {
   CacheFixture fixture;
   fixture.cache.apply({"runs/a.0/0", shard(kPlaced), 10});
-  EXPECT_TRUE(fixture.cache.readable(core::PartitionId{0}));
+  EXPECT_TRUE(fixture.cache.is_readable(core::PartitionId{0}));
   fixture.cache.apply({"runs/a.0/0", shard(R"({"p":"?"})"), 11});
-  EXPECT_EQ(fixture.cache.placed(core::JobId{0}), 1u);
-  EXPECT_FALSE(fixture.cache.readable(core::PartitionId{0})) << "assignments of the partition are unknown";
+  EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 1u);
+  EXPECT_FALSE(fixture.cache.is_readable(core::PartitionId{0})) << "assignments of the partition are unknown";
   fixture.cache.apply({"jobs/req-7", parse(R"({"st":"live"})"), 12});
   EXPECT_EQ(fixture.cache.job(*fixture.names.jobs.find("req-7")), nullptr);
-  EXPECT_TRUE(fixture.cache.unreadable(*fixture.names.jobs.find("req-7")));
+  EXPECT_TRUE(fixture.cache.is_unreadable(*fixture.names.jobs.find("req-7")));
 }
 
 TEST(StateCache, IgnoresMalformedJobRecords) {
   CacheFixture fixture;
   for (const char* text : {"3", "{}", R"({"st":"live"})"})
     fixture.cache.apply({"jobs/req-2", parse(text), 10});
-  EXPECT_TRUE(fixture.cache.live().empty());
+  EXPECT_TRUE(fixture.cache.live_jobs().empty());
 }
 
 }  // namespace
