--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership.cpp
@@ -14,7 +14,7 @@
 // A decision from an older view may overlook that the leader is back.
 constexpr double kMaxViewAgeS = 1.0;
 // A start command without an answer for this long is invalidated by a new fencing token; until then its task
-// stays booked.
+// keeps its resources.
 constexpr double kUnansweredStartLimitS = 10;
 // A controller that has just started may fail again, and each transfer costs its partition a new fencing
 // token.
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -43,7 +43,7 @@
   return boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(bytes.data()));
 }
 
-void prepare(Socket& socket) {
+void configure(Socket& socket) {
   Code ignored;  // errors of a broken socket surface in the first read or write
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
@@ -84,7 +84,7 @@
 asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<FrameHandler> handler,
                                        [[maybe_unused]] core::InFlightCounter::Slot slot,
                                        std::shared_ptr<core::SocketDeadlines> deadlines) {
-  prepare(socket);
+  configure(socket);
   core::SocketDeadlines::Guard guard(std::move(deadlines), socket, core::SteadyClock::now() + kIdleTimeout);
   while (true) {
     guard.reset(core::SteadyClock::now() + kIdleTimeout);
@@ -102,7 +102,7 @@
   const tcp::endpoint endpoint(asio::ip::make_address_v4(to.host), to.port);
   co_await socket.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, ec));
   if (ec) co_return false;
-  prepare(socket);
+  configure(socket);
   co_return true;
 }
 
--- a/src/state/keys.hpp
+++ b/src/state/keys.hpp
@@ -9,7 +9,6 @@
 
 std::string job(const std::string& id);
 std::string shard(const std::string& partition, const std::string& name);
-/// Key of the partition's leadership record.
 std::string leadership(const std::string& partition);
 std::string member(const std::string& label);
 std::string quota(const std::string& team);
@@ -21,7 +20,7 @@
 /// "a.0/3".
 std::pair<std::string_view, std::string_view> split(std::string_view key);
 
-/// Kinds of records.
+/// The tables of the key-value store, one for each kind of record.
 enum class Table { jobs, shards, tombstones, leadership, members, quotas, fences, usage, unknown };
 /// The table of the name before a key's first '/'. `unknown`: written by a newer version.
 Table table_from(std::string_view name);
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -21,7 +21,7 @@
 namespace json = boost::json;
 
 // A record level tells which record features a controller's build supports. Member records without a level
-// are of builds that predate levels, and have level 0.
+// were written by builds that predate levels, and have level 0.
 
 /// Reads services (`standing` in the records).
 inline constexpr std::uint64_t kServicesLevel = 1;
--- a/src/state/store_protocol.hpp
+++ b/src/state/store_protocol.hpp
@@ -45,7 +45,7 @@
 enum class LeaseRenewal {
   renewed,
   expired,  ///< certain: the store has deleted the attached keys
-  unknown,  ///< no answer or refused: the lease lives on until it expires
+  unknown,  ///< no answer or refused: the lease stays valid until it expires
 };
 
 /// The body of a transaction, and its value that is too large for the store, if any.
--- a/tests/coordination/leadership_test.cpp
+++ b/tests/coordination/leadership_test.cpp
@@ -11,7 +11,7 @@
 core::TimePoint at(double seconds) { return core::TimePoint(core::to_duration(seconds)); }
 
 // This controller is perch-2; the partition prefers perch-1, perch-2, perch-3 in this order.
-struct Case {
+struct LeadershipCase {
   const char* name;
   LeaderStatus status;
   const char* leader;
@@ -23,7 +23,7 @@
   const char* transfers_to = nullptr;
 };
 
-LeadershipSnapshot snapshot_of(const Case& test_case) {
+LeadershipSnapshot snapshot_of(const LeadershipCase& test_case) {
   LeadershipSnapshot snapshot{"perch-2", {}, {}};
   for (const auto& [label, seconds] : test_case.alive_for_s)
     snapshot.alive_since[label] = at(kNowS - seconds);
@@ -35,7 +35,7 @@
   return snapshot;
 }
 
-class LeadershipDecision : public testing::TestWithParam<Case> {};
+class LeadershipDecision : public testing::TestWithParam<LeadershipCase> {};
 TEST_P(LeadershipDecision, DependsOnSnapshotAndTime) {
   const auto& test_case = GetParam();
   const auto decisions = decide_leadership(snapshot_of(test_case), at(kNowS));
@@ -52,7 +52,7 @@
 const std::vector<const char*> kThisControllerFirst = {"perch-2", "perch-1", "perch-3"};
 const std::vector<const char*> kThisControllerLast = {"perch-3", "perch-1", "perch-2"};
 
-const Case kFailover[] = {
+const LeadershipCase kFailover[] = {
     {.name = "alive_leader_keeps_partition",
      .status = LeaderStatus::alive,
      .leader = "perch-1",
@@ -110,7 +110,7 @@
      .missing_for_s = 0.51,
      .acquires = true},
 };
-const Case kFirstLeader[] = {
+const LeadershipCase kFirstLeader[] = {
     {.name = "preferred_controller_acquires_at_once",
      .status = kMissing,
      .leader = "",
@@ -137,7 +137,7 @@
      .missing_for_s = 3.01,
      .acquires = true},
 };
-const Case kOwnPartition[] = {
+const LeadershipCase kOwnPartition[] = {
     {.name = "earlier_process_of_same_label_is_replaced_at_once",
      .status = LeaderStatus::earlier_process,
      .leader = "perch-2",
--- a/tests/peer/messages_test.cpp
+++ b/tests/peer/messages_test.cpp
@@ -49,21 +49,24 @@
 std::string frame(char index, const std::string& fields) {
   return std::string("\x01\x02\0\0\0", 5) + index + std::string("\0\0\0", 3) + fields;
 }
-std::string number(char low) { return low + std::string(7, '\0'); }
-std::string text(const std::string& value) { return number(static_cast<char>(value.size())) + value; }
+std::string encoded_number(char low) { return low + std::string(7, '\0'); }
+std::string encoded_text(const std::string& value) {
+  return encoded_number(static_cast<char>(value.size())) + value;
+}
 INSTANTIATE_TEST_SUITE_P(
     Messages, ProtocolVersion2,
-    testing::Values(EncodedMessage{"ping", Ping{"perch-1", 77}, frame(0, text("perch-1") + number(77))},
-                    EncodedMessage{"pong", Pong{2.0, true, {{"req-2", "{}", 42}}},
-                                   frame(1, std::string("\0\0\0\0\0\0\0\x40\x01", 9) + number(1) +
-                                                text("req-2") + text("{}") + number(42))},
-                    EncodedMessage{"heartbeat_relay", HeartbeatRelay{"report"}, frame(2, text("report"))},
-                    EncodedMessage{"store_request", StoreRequest{true, "/commit", "{}"},
-                                   frame(3, "\x01" + text("/commit") + text("{}"))},
-                    EncodedMessage{"reply", Reply{42, "body"},
-                                   frame(4, std::string("\x2a\0\0\0", 4) + text("body"))},
-                    EncodedMessage{"cancellation_notice", CancellationNotice{"req-1", "{}", 41},
-                                   frame(5, text("req-1") + text("{}") + number(41))}),
+    testing::Values(
+        EncodedMessage{"ping", Ping{"perch-1", 77}, frame(0, encoded_text("perch-1") + encoded_number(77))},
+        EncodedMessage{"pong", Pong{2.0, true, {{"req-2", "{}", 42}}},
+                       frame(1, std::string("\0\0\0\0\0\0\0\x40\x01", 9) + encoded_number(1) +
+                                    encoded_text("req-2") + encoded_text("{}") + encoded_number(42))},
+        EncodedMessage{"heartbeat_relay", HeartbeatRelay{"report"}, frame(2, encoded_text("report"))},
+        EncodedMessage{"store_request", StoreRequest{true, "/commit", "{}"},
+                       frame(3, "\x01" + encoded_text("/commit") + encoded_text("{}"))},
+        EncodedMessage{"reply", Reply{42, "body"},
+                       frame(4, std::string("\x2a\0\0\0", 4) + encoded_text("body"))},
+        EncodedMessage{"cancellation_notice", CancellationNotice{"req-1", "{}", 41},
+                       frame(5, encoded_text("req-1") + encoded_text("{}") + encoded_number(41))}),
     [](const auto& info) { return std::string(info.param.name); });
 
 std::string truncated_frame() {
@@ -90,15 +93,15 @@
 }
 INSTANTIATE_TEST_SUITE_P(
     Frames, UnreadableFrame,
-    testing::Values(UnreadableCase{"empty", "", DecodeError::malformed},
-                    UnreadableCase{"one_byte", "x", DecodeError::malformed},
-                    UnreadableCase{"all_ones", std::string(64, '\xff'), DecodeError::other_version},
-                    UnreadableCase{"truncated", truncated_frame(), DecodeError::malformed},
-                    UnreadableCase{"unknown_message", frame(6, text("field")), DecodeError::malformed},
-                    UnreadableCase{"implausible_length", frame(2, std::string(8, '\xff')),
-                                   DecodeError::malformed},
-                    UnreadableCase{"version_1", frame_of_version(1), DecodeError::other_version},
-                    UnreadableCase{"version_9", frame_of_version(9), DecodeError::other_version}),
+    testing::Values(
+        UnreadableCase{"empty", "", DecodeError::malformed},
+        UnreadableCase{"one_byte", "x", DecodeError::malformed},
+        UnreadableCase{"all_ones", std::string(64, '\xff'), DecodeError::other_version},
+        UnreadableCase{"truncated", truncated_frame(), DecodeError::malformed},
+        UnreadableCase{"unknown_message", frame(6, encoded_text("field")), DecodeError::malformed},
+        UnreadableCase{"implausible_length", frame(2, std::string(8, '\xff')), DecodeError::malformed},
+        UnreadableCase{"version_1", frame_of_version(1), DecodeError::other_version},
+        UnreadableCase{"version_9", frame_of_version(9), DecodeError::other_version}),
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST(PeerMessages, AnswerOfAnotherTypeIsRejected) {
--- a/tests/state/records_test.cpp
+++ b/tests/state/records_test.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 // Stored forms as the version in production writes them. Other versions read them, so no byte may change.
-struct Stored {
-  Stored() {
+struct RecordsFixture {
+  RecordsFixture() {
     for (const char* name : {"a.0", "b.0"}) names.partitions.intern(name);
     for (const char* name : {"red", "blue"}) names.teams.intern(name);
   }
@@ -27,8 +27,8 @@
       {keys::quota("red"), Table::quotas, "red", "teams/red"},
       {keys::fence("a.0"), Table::fences, "a.0", "fence/a.0"},
       {keys::usage("a.0"), Table::usage, "a.0", "usage/a.0"}};
-  for (const auto& [key, table, name, stored] : cases) {
-    EXPECT_EQ(key, stored);
+  for (const auto& [key, table, name, expected_key] : cases) {
+    EXPECT_EQ(key, expected_key);
     EXPECT_EQ(keys::table_from(keys::split(key).first), table) << key;
     EXPECT_EQ(keys::split(key).second, name);
   }
@@ -56,22 +56,22 @@
 }
 
 TEST(Records, QuotaKeepsItsStoredForm) {
-  Stored stored;
+  RecordsFixture fixture;
   const std::string text = R"({"parts":{"a.0":[1.25E1,4E0,0E0,0E0],"b.0":[2E1,0E0,3E0,1E0]}})";
-  const auto quota = decode_quota(json::parse(text), 9, 2, stored.names);
+  const auto quota = decode_quota(json::parse(text), 9, 2, fixture.names);
   ASSERT_EQ(quota.partitions.size(), 2u);
   EXPECT_EQ(quota.partitions[0].first.cpus, 12.5);
   EXPECT_EQ(quota.partitions[0].first.gpus, 4);
   EXPECT_EQ(quota.partitions[1].second.cpus, 3);
   EXPECT_EQ(quota.partitions[1].second.gpus, 1);
-  EXPECT_EQ(json::serialize(encode(quota, stored.names)), text);
+  EXPECT_EQ(json::serialize(encode(quota, fixture.names)), text);
   // A partition missing from the record has neither a share nor a request; an unknown partition in it is an
   // error.
-  EXPECT_EQ(decode_quota(json::parse(R"({"parts":{"a.0":[1,2,3,4]}})"), 9, 2, stored.names)
+  EXPECT_EQ(decode_quota(json::parse(R"({"parts":{"a.0":[1,2,3,4]}})"), 9, 2, fixture.names)
                 .partitions[1]
                 .first.cpus,
             0);
-  EXPECT_THROW(decode_quota(json::parse(R"({"parts":{"z.9":[1,2,3,4]}})"), 9, 2, stored.names),
+  EXPECT_THROW(decode_quota(json::parse(R"({"parts":{"z.9":[1,2,3,4]}})"), 9, 2, fixture.names),
                std::exception);
 }
 
@@ -93,34 +93,34 @@
 TEST(Records, FenceIsWrittenAsTheNewestRevision) { EXPECT_EQ(json::serialize(encode_fence(431)), "431"); }
 
 TEST(Records, TombstonesKeepTheirStoredForm) {
-  Stored stored;
+  RecordsFixture fixture;
   const std::string text = R"({"0":{"req-1":[[0,7,0,1],[2,7]],"req-2":[[5,9]]},"12":{"req-1":[[3,8,0,4]]}})";
-  const auto list = decode_tombstones(json::parse(text), 6, stored.names);
+  const auto list = decode_tombstones(json::parse(text), 6, fixture.names);
   EXPECT_EQ(list.revision, 6u);
-  const auto job = *stored.names.jobs.find("req-1");
+  const auto job = *fixture.names.jobs.find("req-1");
   EXPECT_EQ(list.of("0").at(job), (std::vector<Tombstone>{{0, 7, {0, 1}}, {2, 7, {0, 0}}}));
   EXPECT_EQ(list.of("12").at(job), (std::vector<Tombstone>{{3, 8, {0, 4}}}));
   EXPECT_TRUE(list.of("3").empty());
-  EXPECT_EQ(json::serialize(encode(list.shards, stored.names)), text);
-  EXPECT_EQ(json::serialize(encode(ShardTombstones{}, stored.names)), "{}");
+  EXPECT_EQ(json::serialize(encode(list.shards, fixture.names)), text);
+  EXPECT_EQ(json::serialize(encode(ShardTombstones{}, fixture.names)), "{}");
 }
 
 TEST(Records, ShardKeepsItsStoredForm) {
-  Stored stored;
+  RecordsFixture fixture;
   const std::string text =
       R"({"jobs":{"req-1":{"p":[[7,[["m-1",3,[0,2]],["m-2",1,[1]]]]],"d":[[3,5]]},"req-2":{"p":[],"d":[[0,1]]}}})";
-  const auto contents = decode_shard(json::parse(text), stored.names);
+  const auto contents = decode_shard(json::parse(text), fixture.names);
   ASSERT_EQ(contents.size(), 2u);
   EXPECT_EQ(contents[0].second.assignments.size(), 3u);
   EXPECT_EQ(contents[1].second.done.size(), 1u);
   std::map<core::JobId, jobs::JobAssignments> by_job(contents.begin(), contents.end());
-  by_job[stored.names.jobs.intern("req-3")];  // an empty entry is left out
-  EXPECT_EQ(json::serialize(encode_shard(by_job, stored.names)), text);
+  by_job[fixture.names.jobs.intern("req-3")];  // an empty entry is left out
+  EXPECT_EQ(json::serialize(encode_shard(by_job, fixture.names)), text);
 }
 
 TEST(Records, TombstonesRemoveAssignmentsAndMarkTasksDone) {
-  Stored stored;
-  const auto machine = stored.names.machines.intern("m-1");
+  RecordsFixture fixture;
+  const auto machine = fixture.names.machines.intern("m-1");
   jobs::JobAssignments run;
   run.assignments = {{0, 7, machine, 1}, {1, 7, machine, 1}};
   EXPECT_FALSE(apply_tombstones(run, {{0, 6, {0, 0}}})) << "tombstone of another attempt";
--- a/tests/state/state_cache_test.cpp
+++ b/tests/state/state_cache_test.cpp
@@ -45,7 +45,8 @@
   EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 1u);
 }
 
-// Holds whichever of the two records is read first, and ends when the assignment is gone.
+// The result does not depend on which of the two records is read first, and a job is listed only while it
+// has an assignment.
 TEST(StateCache, ListsCancelledJobsWithTasksOnMachines) {
   const KeyUpdate placed{"runs/a.0/0", shard(kPlaced), 10};
   const KeyUpdate cancelled{"jobs/req-1",
