--- a/src/assignments/assignment_writer.cpp
+++ b/src/assignments/assignment_writer.cpp
@@ -1,7 +1,7 @@
-#include "assignments/assignment_writer.hpp"
-
 #include <algorithm>
 
+#include "assignments/assignment_writer.hpp"
+
 namespace finchrun::assignments {
 
 namespace {
@@ -79,7 +79,7 @@
 bool AssignmentWriter::record_exit(const agent::ObservedExit& exit) {
   const auto tombstone = tombstone_of(exit, state_.cache.job(exit.job));
   for (const auto& recorded : state_.cache.shard_assignments(exit.job)) {
-    if (recorded.partition != partition_ || !has_attempt(recorded.run, exit)) continue;
+    if (recorded.partition != partition_ || !has_attempt(recorded.job_assignments, exit)) continue;
     const auto& name = state_.cache.shard(recorded.shard).name;
     auto* shard = shards_.find(name);
     if (!shard) return add_tombstone(name, exit.job, tombstone);
@@ -112,12 +112,12 @@
   std::uint32_t done = shards_.done_tasks(job);
   for (const auto& recorded : state_.cache.shard_assignments(job)) {
     if (recorded.partition != partition_) {
-      done += recorded.run.done.size();
+      done += recorded.job_assignments.done.size();
       continue;
     }
     const auto& name = state_.cache.shard(recorded.shard).name;
     if (shards_.contains(name)) continue;  // counted above, as the transaction will write it
-    auto run = recorded.run;
+    auto run = recorded.job_assignments;
     tombstones_.apply_to(name, job, run);
     done += run.done.size();
   }
@@ -126,7 +126,7 @@
 
 void AssignmentWriter::write_to(PlannedTransaction& transaction) const {
   const auto& partition = state_.names.partitions.name(partition_);
-  transaction.require_revision(state::keys::partition(partition), state_.fencing_token(partition_));
+  transaction.require_revision(state::keys::leadership(partition), state_.fencing_token(partition_));
   transaction.require_revision(state::keys::fence(partition), state_.cache.fence(partition_));
   shards_.write_to(transaction);
   tombstones_.write_to(transaction);
--- a/src/assignments/exit_plan.cpp
+++ b/src/assignments/exit_plan.cpp
@@ -1,10 +1,10 @@
-#include "assignments/exit_plan.hpp"
-
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <set>
 
+#include "assignments/exit_plan.hpp"
+
 namespace finchrun::assignments {
 
 namespace {
@@ -30,7 +30,7 @@
   for (const auto& exit : state.fleet.observed_exits)
     if (exit.partition == partition && writer.record_exit(exit) && exit.done)
       with_done_tasks.insert(exit.job);
-  state.cache.each_run(
+  state.cache.for_each_assignments(
       [&](core::JobId job, core::PartitionId recorded_by, const jobs::JobAssignments& recorded) {
         if (recorded_by == partition && recorded.done.size() > 0) with_done_tasks.insert(job);
       });
@@ -84,7 +84,7 @@
     if (!is_complete(state, writer, job)) continue;
     if (transaction.writes.size() >= limits.max_writes()) break;
     if (transaction.compares.size() + kComparesPerJob > limits.max_compares()) break;
-    transaction.require_revision(state::keys::partition(state.names.partitions.name(partition)),
+    transaction.require_revision(state::keys::leadership(state.names.partitions.name(partition)),
                                  state.fencing_token(partition));
     record_completion(state, job, transaction);
   }
--- a/src/assignments/exit_recorder.cpp
+++ b/src/assignments/exit_recorder.cpp
@@ -1,9 +1,8 @@
-#include "assignments/exit_recorder.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include "assignments/commit_refusal.hpp"
 #include "assignments/exit_plan.hpp"
+#include "assignments/exit_recorder.hpp"
 
 namespace finchrun::assignments {
 
@@ -31,7 +30,8 @@
   auto planned = plan();
   for (auto& [partition, transaction] : planned) {
     const auto writes = static_cast<int>(transaction.writes.size());
-    if (!store_.spend(writes, state::KeyValueStore::For::records)) co_return;  // the next flush does the rest
+    if (!store_.try_spend_writes(writes, state::KeyValueStore::WritePurpose::records))
+      co_return;  // the next flush does the rest
     // A named variable, since GCC 12 destroys aggregate temporaries of a co_await twice.
     state::Transaction commit{transaction.compares, std::move(transaction.writes)};
     const auto result = co_await follower_.commit(std::move(commit));
@@ -41,7 +41,7 @@
     }
     log_refusal("exits not recorded", partition, result);
     // The exits stay observed, so the next flush retries them on the state that the next read brings.
-    follower_.wake();
+    follower_.request_read();
     if (result.outcome != CommitStatus::conflict) co_return;
   }
 }
--- a/src/assignments/placement_plan.cpp
+++ b/src/assignments/placement_plan.cpp
@@ -1,9 +1,9 @@
-#include "assignments/placement_plan.hpp"
-
 #include <fmt/format.h>
 
 #include <optional>
 
+#include "assignments/placement_plan.hpp"
+
 namespace finchrun::assignments {
 
 namespace {
@@ -30,8 +30,8 @@
   transaction.require_revision(state::keys::job(state.names.jobs.name(id)), job.revision);
   // Fails if the partition's quota share has changed: giving quota away, which lowers it, writes this key.
   const auto team = job.spec.team;
-  transaction.require_revision(state::keys::team(state.names.teams.name(team)),
-                               state.cache.team(team).revision);
+  transaction.require_revision(state::keys::quota(state.names.teams.name(team)),
+                               state.cache.quota(team).revision);
 }
 
 void add_start_commands(const ControllerState& state, const PlannedPlacement& placement,
--- a/src/assignments/placement_recorder.cpp
+++ b/src/assignments/placement_recorder.cpp
@@ -1,8 +1,7 @@
-#include "assignments/placement_recorder.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include "assignments/commit_refusal.hpp"
+#include "assignments/placement_recorder.hpp"
 
 namespace finchrun::assignments {
 
@@ -19,7 +18,7 @@
   std::optional<core::TimePoint> retry_at;
   // Keeps the earliest time.
   const auto schedule_retry = [&] {
-    if (!retry_at) retry_at = core::Steady::now() + core::secs(kRetryDelayS);
+    if (!retry_at) retry_at = core::SteadyClock::now() + core::to_duration(kRetryDelayS);
   };
   for (std::size_t next = 0; next < placements.size();) {
     auto batch = state_.with(
@@ -27,7 +26,8 @@
     next = batch.next;
     auto& transaction = batch.transaction;
     if (transaction.writes.empty()) continue;
-    if (!store_.spend(static_cast<int>(transaction.writes.size()), state::KeyValueStore::For::records)) {
+    if (!store_.try_spend_writes(static_cast<int>(transaction.writes.size()),
+                                 state::KeyValueStore::WritePurpose::records)) {
       schedule_retry();
       co_return retry_at;
     }
@@ -42,7 +42,7 @@
     log_refusal("placements not recorded", batch.partition, result);
     // Retries once the next read of the store has brought the change that caused the failure.
     schedule_retry();
-    follower_.wake();
+    follower_.request_read();
     if (result.outcome != CommitStatus::unknown) continue;
     fences_.mark_due(transaction.compares);
     co_return retry_at;
--- a/src/assignments/shard_shrinker.cpp
+++ b/src/assignments/shard_shrinker.cpp
@@ -16,7 +16,7 @@
   const auto jobs = shards_.contents(shard);
   // A controller of an earlier release applies tombstones to a shard permanently, in whichever order it reads
   // the keys. It would count done tasks twice if they had moved to another shard meanwhile.
-  const bool done_tasks_may_move = state_.all_controllers_support(state::kTombstonesInAnyOrder);
+  const bool done_tasks_may_move = state_.all_controllers_support(state::kUnorderedTombstonesLevel);
   SplitConstraints constraints;
   constraints.max_bytes = state_.settings.store_limits.max_value_bytes();
   if (!done_tasks_may_move)
--- a/src/autoscaling/scale_in_plan.cpp
+++ b/src/autoscaling/scale_in_plan.cpp
@@ -1,8 +1,8 @@
-#include "autoscaling/scale_in_plan.hpp"
-
 #include <algorithm>
 #include <optional>
 
+#include "autoscaling/scale_in_plan.hpp"
+
 namespace finchrun::autoscaling {
 namespace {
 
@@ -57,7 +57,7 @@
 bool never_came_up(const ControllerState& state, const Machine& machine, core::TimePoint now) {
   const auto* type = state.fleet.machine_type(machine.type);
   return machine.listed && machine.status == "starting" && type &&
-         core::since(machine.starting_since, now) > 5 * type->boot_s + 30;
+         core::seconds_between(machine.starting_since, now) > 5 * type->boot_s + 30;
 }
 
 /// Heartbeats of the machine arrive, but answers to it do not: its lease has expired repeatedly although this
@@ -66,7 +66,7 @@
                     core::TimePoint now) {
   const double lease_s = state.settings.agent_lease_s;
   return machine.is_unreachable() && silent_s < lease_s &&
-         core::since(*machine.unreachable_since, now) > 2 * lease_s + 15;
+         core::seconds_between(*machine.unreachable_since, now) > 2 * lease_s + 15;
 }
 
 std::optional<ScaleInReason> scale_in_reason(const ControllerState& state, const Machine& machine,
@@ -82,7 +82,8 @@
   if (never_came_up(state, machine, now)) return ScaleInReason::never_came_up;
   if (machine.quarantined && !in_use) return ScaleInReason::quarantined;
   if (is_unreachable(state, machine, silent_s, now)) return ScaleInReason::unreachable;
-  if (machine.has_heartbeat && !in_use && core::since(machine.idle_since, now) > state.tuning.scale_in_idle_s)
+  if (machine.has_heartbeat && !in_use &&
+      core::seconds_between(machine.idle_since, now) > state.tuning.scale_in_idle_s)
     return ScaleInReason::idle;
   return std::nullopt;
 }
@@ -111,7 +112,7 @@
 
 bool is_current(const ControllerState& state, core::TimePoint now) {
   constexpr double kMaxStateAgeS = 1.5;
-  return core::since(state.synchronized_at, now) <= kMaxStateAgeS;
+  return core::seconds_between(state.synchronized_at, now) <= kMaxStateAgeS;
 }
 
 std::vector<ScaleInDecision> plan_scale_in(const ControllerState& state, core::TimePoint now) {
--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -1,10 +1,10 @@
-#include "autoscaling/scale_out_plan.hpp"
-
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <optional>
 
+#include "autoscaling/scale_out_plan.hpp"
+
 namespace finchrun::autoscaling {
 namespace {
 
@@ -32,7 +32,7 @@
 bool is_boot_overdue(const Machine& machine, const MachineType& type, core::TimePoint now) {
   constexpr double kMaxBootTimeFactor = 2;  // normal boots take up to 1.5 times the type's boot time
   const auto starting_since = machine.status == "starting" ? machine.starting_since : machine.first_seen;
-  return core::since(starting_since, now) > kMaxBootTimeFactor * type.boot_s;
+  return core::seconds_between(starting_since, now) > kMaxBootTimeFactor * type.boot_s;
 }
 
 /// Orders kinds by their names joined with `|`. Of several kinds that are needed equally, the first in this
@@ -117,7 +117,7 @@
                                       std::uint32_t waiting) {
     const auto& demand = item.demand;
     const auto can_use = [&](const FreeCapacity& capacity) {
-      return capacity.partition == item.partition && demand.need.fits(capacity.free) &&
+      return capacity.partition == item.partition && demand.need.fits_in(capacity.free) &&
              (!capacity.spot || demand.spot) && jobs::type_allowed(demand.allowed_types, capacity.type);
     };
     std::uint32_t filled = 0;
@@ -144,7 +144,7 @@
       if (!jobs::type_allowed(demand.allowed_types, state_.fleet.machine_type_ids[i]) ||
           !offered_in(type, zone))
         continue;
-      if (!demand.need.fits(type.size)) continue;
+      if (!demand.need.fits_in(type.size)) continue;
       if (!backoff_.is_backed_off({type.name, zone, false}, now_)) return true;
     }
     return false;
@@ -156,7 +156,7 @@
     std::uint32_t filled = 0;
     for (auto& capacity : spot_capacity_) {
       if (capacity.partition != item.partition) continue;
-      for (; filled < waiting && item.demand.need.fits(capacity.free); ++filled)
+      for (; filled < waiting && item.demand.need.fits_in(capacity.free); ++filled)
         capacity.free -= item.demand.need;
     }
     return filled;
@@ -170,7 +170,7 @@
       if (!jobs::type_allowed(demand.allowed_types, state_.fleet.machine_type_ids[i]) ||
           !offered_in(type, zone))
         continue;
-      const int tasks_per_machine = demand.need.times_in(type.size);
+      const int tasks_per_machine = demand.need.max_copies_in(type.size);
       if (tasks_per_machine < 1) continue;
       for (const bool spot : {false, true}) {
         if (spot && !allow_spot) continue;
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,5 +1,3 @@
-#include "cloud/cloud_client.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include <boost/asio/redirect_error.hpp>
@@ -8,6 +6,8 @@
 #include <boost/json.hpp>
 #include <optional>
 
+#include "cloud/cloud_client.hpp"
+
 namespace finchrun::cloud {
 namespace {
 
@@ -144,17 +144,17 @@
 CloudClient::CloudClient(http::Network& network, const config::Settings& settings)
     : client_(network.connect(settings.cloud_endpoint, 2)),
       requests_per_s_(settings.cloud_requests_per_s / settings.controller_count),
-      rate_limiter_(requests_per_s_, std::max(2.0, 2 * requests_per_s_), core::Steady::now()) {}
+      rate_limiter_(requests_per_s_, std::max(2.0, 2 * requests_per_s_), core::SteadyClock::now()) {}
 
 asio::awaitable<http::ClientResponse> CloudClient::call(http::Verb verb, std::string target,
                                                         std::string body) {
-  if (!rate_limiter_.take(1, 0, core::Steady::now())) co_return http::ClientResponse{429, {}};
+  if (!rate_limiter_.try_take(1, 0, core::SteadyClock::now())) co_return http::ClientResponse{429, {}};
   co_return co_await client_->call(verb, std::move(target), std::move(body), kRequestTimeout);
 }
 
 asio::awaitable<void> CloudClient::wait_for_rate_limit() {
-  while (!rate_limiter_.take(1, 0, core::Steady::now())) {
-    core::Timer timer(co_await asio::this_coro::executor, core::secs(0.5 / requests_per_s_));
+  while (!rate_limiter_.try_take(1, 0, core::SteadyClock::now())) {
+    core::Timer timer(co_await asio::this_coro::executor, core::to_duration(0.5 / requests_per_s_));
     boost::system::error_code ec;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -1,7 +1,6 @@
-#include "controller/controller_state.hpp"
-
 #include <algorithm>
 
+#include "controller/controller_state.hpp"
 #include "controller/quota_usage.hpp"
 
 namespace finchrun::controller {
@@ -88,18 +87,19 @@
 
 bool ControllerState::leads(core::PartitionId partition) const {
   return holds_leadership(partition) && cache.revision() >= cache.leadership(partition).revision &&
-         cache.readable(partition);
+         cache.is_readable(partition);
 }
 
 bool ControllerState::all_members_support(std::uint64_t level) const {
   const auto& members = cache.members();
-  return !members.empty() && std::all_of(members.begin(), members.end(),
-                                         [&](const auto& member) { return member.second.level >= level; });
+  return !members.empty() && std::all_of(members.begin(), members.end(), [&](const auto& member) {
+    return member.second.record_level >= level;
+  });
 }
 
 bool ControllerState::all_controllers_support(std::uint64_t level) const {
   return std::all_of(settings.members.begin(), settings.members.end(), [&](const config::Member& member) {
-    const auto last = cache.last_level(member.label);
+    const auto last = cache.last_record_level(member.label);
     return last && *last >= level;
   });
 }
@@ -114,12 +114,12 @@
 }
 
 bool ControllerState::can_renew_leases(core::TimePoint now) const {
-  return core::since(cancellations_known_at(now), now) < settings.lease_renewal_window_s();
+  return core::seconds_between(cancellations_known_at(now), now) < settings.lease_renewal_window_s();
 }
 
 double ControllerState::seconds_since_heartbeat(const agent::Machine& machine, core::TimePoint now) const {
   const auto term_start = leading_since.at(machine.partition.index);
-  return core::since(std::max({machine.last_heartbeat, machine.first_seen, term_start}), now);
+  return core::seconds_between(std::max({machine.last_heartbeat, machine.first_seen, term_start}), now);
 }
 
 bool ControllerState::is_schedulable(const agent::Machine& machine, core::TimePoint now) const {
@@ -129,7 +129,7 @@
     return false;
   // The agents answer a new leader's probes before they send it their first heartbeats.
   const auto last_seen = std::max(machine.last_heartbeat, leading_since.at(machine.partition.index));
-  return core::since(last_seen, now) <
+  return core::seconds_between(last_seen, now) <
          kMaxMissedHeartbeats * settings.heartbeat_interval_s + kHeartbeatDelayS;
 }
 
@@ -144,7 +144,7 @@
 agent::HeartbeatResult ControllerState::apply_heartbeat(agent::Machine& machine,
                                                         const wire::Heartbeat& heartbeat, core::TimePoint now,
                                                         bool is_direct_answer) {
-  const bool starts_allowed = core::since(synchronized_at, now) < kMaxStateAgeToStartS;
+  const bool starts_allowed = core::seconds_between(synchronized_at, now) < kMaxStateAgeToStartS;
   return agent::handle_heartbeat({names, cache, fleet, job_failures, fencing_token(machine.partition), now,
                                   settings.agent_lease_s, starts_allowed, is_direct_answer},
                                  machine, heartbeat);
@@ -172,7 +172,7 @@
 void ControllerState::update_job_class_profiles() {
   job_class_profiles.resize(names.job_classes.size());
   std::vector<double> unfinished(job_class_profiles.size(), 0.0);
-  for (const auto id : cache.live()) {
+  for (const auto id : cache.live_jobs()) {
     const auto& spec = cache.job(id)->spec;
     auto& profile = job_class_profiles[spec.job_class.index];
     profile.need = spec.need;
--- a/src/controller/runtime.hpp
+++ b/src/controller/runtime.hpp
@@ -21,7 +21,7 @@
   /// Returns a uniformly random duration between 80% and 120% of `seconds`, so that controllers don't act in
   /// lockstep. Draws once from the seeded generator; a simulation is reproducible only while the order of
   /// draws stays the same.
-  [[nodiscard]] core::Steady::duration jitter(double seconds);
+  [[nodiscard]] core::SteadyClock::duration jitter(double seconds);
   /// Waits for `jitter(seconds)`, drawn when the wait begins.
   asio::awaitable<void> sleep(double seconds);
   /// Starts a loop that runs until the process ends. An exception from it is a bug and terminates the process
--- a/src/core/in_flight.hpp
+++ b/src/core/in_flight.hpp
@@ -1,4 +1,4 @@
-// How many of something bounded are under way: connections, requests.
+// Counts bounded work in flight, such as connections and requests.
 #pragma once
 
 #include <cstddef>
@@ -7,28 +7,28 @@
 
 namespace finchrun::core {
 
-/// A count of what is under way, shared with each of it: a coroutine that is destroyed with its event loop
-/// gives back its place after the counter's own object has gone.
+/// A count that is shared with its slots: a coroutine that is destroyed with its event loop may release its
+/// slot after the counter is gone.
 class InFlightCounter {
  public:
-  /// A place that is taken until this object is destroyed.
-  class Place {
+  /// One unit of work, counted until this object is destroyed.
+  class Slot {
    public:
-    explicit Place(std::shared_ptr<std::size_t> count) : count_(std::move(count)) { ++*count_; }
-    ~Place() {
+    explicit Slot(std::shared_ptr<std::size_t> count) : count_(std::move(count)) { ++*count_; }
+    ~Slot() {
       if (count_) --*count_;
     }
-    Place(Place&&) noexcept = default;
-    Place(const Place&) = delete;
-    Place& operator=(const Place&) = delete;
-    Place& operator=(Place&&) = delete;
+    Slot(Slot&&) noexcept = default;
+    Slot(const Slot&) = delete;
+    Slot& operator=(const Slot&) = delete;
+    Slot& operator=(Slot&&) = delete;
 
    private:
-    std::shared_ptr<std::size_t> count_;  // nothing once moved from
+    std::shared_ptr<std::size_t> count_;  // null once moved from
   };
 
   [[nodiscard]] std::size_t count() const { return *count_; }
-  [[nodiscard]] Place take() { return Place(count_); }
+  [[nodiscard]] Slot acquire() { return Slot(count_); }
 
  private:
   std::shared_ptr<std::size_t> count_ = std::make_shared<std::size_t>(0);
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -1,9 +1,8 @@
-#include "gateway/admission.hpp"
-
 #include <algorithm>
 #include <set>
 
 #include "assignments/assignment_writer.hpp"
+#include "gateway/admission.hpp"
 #include "sched/distribute.hpp"
 #include "scheduling/cluster_load.hpp"
 
@@ -19,7 +18,7 @@
   const auto& types = submission.allowed_types;
   for (const auto& machine_type : state.fleet.machine_types) {
     if (types && std::find(types->begin(), types->end(), machine_type.name) == types->end()) continue;
-    if (!submission.spec.need.fits(machine_type.size)) continue;
+    if (!submission.spec.need.fits_in(machine_type.size)) continue;
     for (const auto& zone : machine_type.zones)
       if (!submission.zone || zone == *submission.zone) zones.insert(zone);
   }
@@ -106,7 +105,7 @@
   if (state.find_job(submission.id)) return AlreadyAccepted{};
   if (!state.cache_loaded || state.fleet.machine_types.empty()) return NotReady{};
   if (const auto reason = infeasible_reason(state, submission)) return Infeasible{*reason};
-  if (submission.spec.is_service() && !state.all_members_support(state::kStandingJobs))
+  if (submission.spec.is_service() && !state.all_members_support(state::kServicesLevel))
     return AwaitingUpgrade{};
 
   const auto record = make_record(state, submission, now, wall_s);
--- a/src/gateway/agent_commands.cpp
+++ b/src/gateway/agent_commands.cpp
@@ -1,7 +1,7 @@
-#include "gateway/agent_commands.hpp"
-
 #include <spdlog/spdlog.h>
 
+#include "gateway/agent_commands.hpp"
+
 namespace finchrun::gateway {
 
 namespace {
@@ -77,7 +77,7 @@
   const auto response = co_await client->call(http::Verb::post, "/do", std::move(body), kCommandTimeout);
   answer = interpret_answer(response);
   const bool exits_observed = state_.with([&](ControllerState& state) {
-    return apply_answer(state, machine, address->agent_incarnation, answer, core::Steady::now());
+    return apply_answer(state, machine, address->agent_incarnation, answer, core::SteadyClock::now());
   });
   if (exits_observed) writer_wakeup_.notify();
   co_return answer;
@@ -86,7 +86,7 @@
 asio::awaitable<void> AgentCommands::send(core::MachineId machine, std::vector<wire::Command> commands,
                                           std::vector<agent::TaskAttempt> starts) {
   const bool has_commands = state_.with([&](ControllerState& state) {
-    return prepare_send(state, machine, core::Steady::now(), commands, starts);
+    return prepare_send(state, machine, core::SteadyClock::now(), commands, starts);
   });
   if (!has_commands) co_return;
   const auto answer = co_await call(machine, std::move(commands));
@@ -100,7 +100,7 @@
 asio::awaitable<void> AgentCommands::run_probes() {
   while (true) {
     co_await runtime_.sleep(kProbeIntervalS);
-    const auto now = core::Steady::now();
+    const auto now = core::SteadyClock::now();
     const auto machines = state_.with([&](ControllerState& state) {
       auto due = machines_to_probe(state, now);
       for (const auto id : due) {
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -1,7 +1,6 @@
-#include "gateway/agent_gateway.hpp"
-
 #include <spdlog/spdlog.h>
 
+#include "gateway/agent_gateway.hpp"
 #include "gateway/heartbeat_routing.hpp"
 #include "gateway/responses.hpp"
 #include "peer/messages.hpp"
@@ -51,7 +50,7 @@
   if (const auto* malformed = std::get_if<wire::Malformed>(&parsed))
     return error_response(http::status::kBadRequest, malformed->reason);
   const auto& heartbeat = std::get<wire::Heartbeat>(parsed);
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   bool exits_observed = false;
   auto response = state_.with([&](ControllerState& state) {
     const auto partition = partition_of(state, heartbeat);
@@ -81,7 +80,7 @@
   const auto parsed = wire::parse_heartbeat(body);
   const auto* heartbeat = std::get_if<wire::Heartbeat>(&parsed);
   if (!heartbeat) return std::nullopt;
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   return state_.with([&](ControllerState& state) -> std::optional<std::size_t> {
     const auto partition = partition_of(state, *heartbeat);
     if (!partition) return std::nullopt;
--- a/src/gateway/cancelled_task_stopper.cpp
+++ b/src/gateway/cancelled_task_stopper.cpp
@@ -1,7 +1,6 @@
-#include "gateway/cancelled_task_stopper.hpp"
-
 #include <spdlog/spdlog.h>
 
+#include "gateway/cancelled_task_stopper.hpp"
 #include "gateway/due_stops.hpp"
 
 namespace finchrun::gateway {
@@ -13,7 +12,7 @@
   while (true) {
     co_await runtime_.sleep(kRoundS);
     auto stops = state_.with([&](ControllerState& state) {
-      auto due = take_due_stops(state, in_flight_.count(), core::Steady::now(),
+      auto due = take_due_stops(state, in_flight_.count(), core::SteadyClock::now(),
                                 [this](double seconds) { return runtime_.jitter(seconds); });
       for (const auto& [machine, commands] : due)
         spdlog::debug("tasks of cancelled jobs stopped machine={} tasks={}",
@@ -26,7 +25,7 @@
 
 asio::awaitable<void> CancelledTaskStopper::stop(core::MachineId machine,
                                                  std::vector<wire::Command> commands) {
-  const auto counted = in_flight_.take();
+  const auto counted = in_flight_.acquire();
   std::vector<agent::TaskAttempt> no_starts;
   co_await commands_.send(machine, std::move(commands), std::move(no_starts));
 }
--- a/src/gateway/direct_commands.cpp
+++ b/src/gateway/direct_commands.cpp
@@ -1,10 +1,9 @@
-#include "gateway/direct_commands.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <tuple>
 
+#include "gateway/direct_commands.hpp"
 #include "gateway/responses.hpp"
 
 namespace finchrun::gateway {
@@ -24,7 +23,7 @@
 bool direct_starts_suspended(const agent::Machine& machine, core::TimePoint now) {
   constexpr double kSuspendDirectStartsS = 20;
   return machine.direct_command_failed_at &&
-         core::since(*machine.direct_command_failed_at, now) < kSuspendDirectStartsS;
+         core::seconds_between(*machine.direct_command_failed_at, now) < kSuspendDirectStartsS;
 }
 
 // True if the machine's partition is led here, its agent's address is known, and it is not being deleted.
@@ -105,7 +104,8 @@
         machine.has_heartbeat && machine.fencing_token >= state.fencing_token(machine.partition);
     if (obeys && !machine.is_unreachable() && !silent) continue;
     if (!machine.has_heartbeat && machine.status == "starting") continue;
-    if (core::since(machine.last_probe, now) < (obeys ? kProbeIntervalS : kUrgentProbeIntervalS)) continue;
+    if (core::seconds_between(machine.last_probe, now) < (obeys ? kProbeIntervalS : kUrgentProbeIntervalS))
+      continue;
     due.emplace_back(obeys, machine.last_probe, id);
   }
   std::sort(due.begin(), due.end());
--- a/src/gateway/due_stops.hpp
+++ b/src/gateway/due_stops.hpp
@@ -21,6 +21,6 @@
 /// as sent; those above the limit, with `in_flight` machines counted, stay due. `jitter` returns a random
 /// duration around the given number of seconds.
 StopsByMachine take_due_stops(controller::ControllerState& state, std::size_t in_flight, core::TimePoint now,
-                              const std::function<core::Steady::duration(double)>& jitter);
+                              const std::function<core::SteadyClock::duration(double)>& jitter);
 
 }  // namespace finchrun::gateway
--- a/src/gateway/heartbeat_routing.cpp
+++ b/src/gateway/heartbeat_routing.cpp
@@ -31,7 +31,8 @@
   // An agent that gets no answer from the leader and then tries the other controllers returns within this
   // time.
   const double return_window_s = 3 * heartbeat_interval_s + 8;
-  if (core::since(machine.redirected_at, now) < return_window_s) return Forwarding::relay_after_redirect;
+  if (core::seconds_between(machine.redirected_at, now) < return_window_s)
+    return Forwarding::relay_after_redirect;
   // An agent that obeys the leader's fencing token but contacts this controller can't reach the leader any
   // more. After a redirect it would wait for a second timeout, during which a lease of 10 s expired. An agent
   // that learned the token only from a direct command may reach the leader, so after a relayed heartbeat the
--- a/src/gateway/job_api.cpp
+++ b/src/gateway/job_api.cpp
@@ -1,8 +1,7 @@
-#include "gateway/job_api.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include "gateway/admission.hpp"
+#include "gateway/job_api.hpp"
 #include "gateway/responses.hpp"
 
 namespace finchrun::gateway {
@@ -39,16 +38,16 @@
     const auto& name = state.names.jobs.name(id);
     const auto* job = state.cache.job(id);
     if (!job)
-      return state.cache.unreadable(id) ? retry_later(kStateUnknownText)
-                                        : error_response(http::status::kNotFound, kNoSuchJobText);
+      return state.cache.is_unreadable(id) ? retry_later(kStateUnknownText)
+                                           : error_response(http::status::kNotFound, kNoSuchJobText);
     if (job->status == jobs::Status::cancelled)
       return http::Response{http::status::kOk, wire::render_status(name, "cancelled")};
     if (job->status == jobs::Status::done)
       return http::Response{http::status::kOk, wire::render_status(name, "done", job->spec.tasks, 0)};
-    const auto running = state.cache.placed(id);
+    const auto running = state.cache.placed_tasks(id);
     const char* status = running > 0 ? "running" : "pending";
     return http::Response{http::status::kOk,
-                          wire::render_status(name, status, state.cache.done(id), running)};
+                          wire::render_status(name, status, state.cache.done_tasks(id), running)};
   });
 }
 
@@ -61,22 +60,22 @@
 // peer answers, is not ready: it would refuse each request at once, and with its few open connections the
 // load balancer would send it the next requests too.
 bool JobApi::is_ready() {
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   const bool fresh = state_.with([&](ControllerState& state) {
-    return state.cache_loaded && core::since(state.synchronized_at, now) < kMaxReadyStateAgeS;
+    return state.cache_loaded && core::seconds_between(state.synchronized_at, now) < kMaxReadyStateAgeS;
   });
   if (fresh) return true;
-  const bool isolated = !peers_.any_heard_within(kMaxReadyPeerAgeS, now);
-  return !peers_.in_touch_with_store() && !(isolated && !peers_.empty());
+  const bool isolated = !peers_.any_answered_within(kMaxReadyPeerAgeS, now);
+  return !peers_.find_peer_with_fresh_state() && !(isolated && !peers_.empty());
 }
 
 // True if neither this controller nor a peer reaches the store. Requests are then refused at once.
 bool JobApi::is_store_unreachable() {
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   const bool stale = state_.with([&](ControllerState& state) {
-    return !state.cache_loaded || core::since(state.synchronized_at, now) > kMaxStateAgeS;
+    return !state.cache_loaded || core::seconds_between(state.synchronized_at, now) > kMaxStateAgeS;
   });
-  return stale && !peers_.in_touch_with_store();
+  return stale && !peers_.find_peer_with_fresh_state();
 }
 
 asio::awaitable<http::Response> JobApi::query(std::string id) {
@@ -89,7 +88,7 @@
   });
   if (final_id) co_return status_of(*final_id);
   if (is_store_unreachable()) co_return retry_later(kStoreUnreachableText);
-  if (!co_await follower_.linearizable_read(core::Steady::now() + kReadTimeout))
+  if (!co_await follower_.linearizable_read(core::SteadyClock::now() + kReadTimeout))
     co_return retry_later(kStateUnknownText);
   const auto known = state_.with([&](ControllerState& state) { return state.names.jobs.find(id); });
   if (!known) co_return error_response(http::status::kNotFound, kNoSuchJobText);
@@ -102,7 +101,7 @@
     co_return error_response(http::status::kBadRequest, malformed->reason);
   const auto& submission = std::get<wire::Submission>(parsed);
   auto admission = state_.with([&](ControllerState& state) {
-    return decide_admission(state, submission, core::Steady::now(), core::wall_s());
+    return decide_admission(state, submission, core::SteadyClock::now(), core::unix_time_s());
   });
 
   if (std::holds_alternative<NotReady>(admission)) co_return retry_later("controller is not ready");
@@ -112,7 +111,7 @@
   if (std::holds_alternative<Infeasible>(admission)) {
     // 422 is final to the user. Another controller may have accepted the job under settings or machine types
     // that allowed it; a repeated submission must then be answered with the job's state.
-    if (!co_await follower_.linearizable_read(core::Steady::now() + kReadTimeout))
+    if (!co_await follower_.linearizable_read(core::SteadyClock::now() + kReadTimeout))
       co_return retry_later(kStateUnknownText);
     if (!job_exists(submission.id))
       co_return error_response(http::status::kUnprocessable,
@@ -120,7 +119,8 @@
   }
   if (!std::holds_alternative<Admitted>(admission)) co_return co_await query(submission.id);
 
-  if (!store_.spend(1, state::KeyValueStore::For::users)) co_return retry_later("too many submissions");
+  if (!store_.try_spend_writes(1, state::KeyValueStore::WritePurpose::user_requests))
+    co_return retry_later("too many submissions");
   auto& transaction = std::get<Admitted>(admission).transaction;
   auto response = co_await commit_submission(submission.id, std::move(transaction));
   if (response.status == http::status::kCreated)
@@ -138,7 +138,7 @@
       co_return co_await query(job);
     case CommitStatus::unknown:
       // The commit may have been applied; a later read of the record decides.
-      if (!co_await follower_.linearizable_read(core::Steady::now() + kReadAfterCommitTimeout))
+      if (!co_await follower_.linearizable_read(core::SteadyClock::now() + kReadAfterCommitTimeout))
         co_return retry_later(kStateUnknownText);
       if (job_exists(job)) co_return co_await query(job);
       co_return retry_later(kStateUnknownText);
@@ -148,8 +148,8 @@
 }
 
 asio::awaitable<http::Response> JobApi::cancel(std::string id) {
-  const auto deadline = core::Steady::now() + kCancelTimeout;
-  for (int attempt = 0; attempt < kMaxCancelAttempts && core::Steady::now() < deadline; ++attempt) {
+  const auto deadline = core::SteadyClock::now() + kCancelTimeout;
+  for (int attempt = 0; attempt < kMaxCancelAttempts && core::SteadyClock::now() < deadline; ++attempt) {
     auto decision = state_.with([&](ControllerState& state) { return decide_cancellation(state, id); });
     if (const auto* over = std::get_if<AlreadyFinished>(&decision)) co_return status_of(over->job);
     if (is_store_unreachable()) co_return retry_later(kStoreUnreachableText);
@@ -157,7 +157,7 @@
     if (cancellable) {
       // The write counts against the write budget but does not wait for it: other writes must not delay a
       // cancellation, since the job's tasks keep running until then.
-      store_.spend(1, state::KeyValueStore::For::users);
+      store_.try_spend_writes(1, state::KeyValueStore::WritePurpose::user_requests);
       const auto result = co_await follower_.commit(std::move(cancellable->transaction));
       if (result.outcome == CommitStatus::done) {
         spdlog::info("job cancelled job={}", id);
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -1,11 +1,10 @@
-#include "http/client.hpp"
-
 #include <boost/asio/ip/address_v4.hpp>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
 
+#include "http/client.hpp"
 #include "http/exchange.hpp"
 
 namespace finchrun::http {
@@ -32,7 +31,7 @@
 
 }  // namespace
 
-Client::Client(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor,
+Client::Client(std::shared_ptr<core::SocketDeadlines> deadlines, asio::any_io_executor executor,
                config::Endpoint endpoint, std::size_t max_idle_connections)
     : deadlines_(std::move(deadlines)),
       executor_(std::move(executor)),
@@ -54,20 +53,20 @@
   request.body() = std::move(body);
   request.prepare_payload();
 
-  const auto deadline = core::Steady::now() + timeout;
+  const auto deadline = core::SteadyClock::now() + timeout;
   // The server may have closed an idle connection before it read the request. Only a failed write on a reused
   // connection is retried, on a new one: after a complete write the server may execute the request.
   for (int attempt = 0; attempt < 2; ++attempt) {
     Connection connection = attempt == 0 ? take_idle_connection() : nullptr;
     const bool reused = connection != nullptr;
     if (!reused) connection = std::make_unique<Socket>(executor_);
-    const core::Deadlines::Guard guard(deadlines_, *connection, deadline);
+    const core::SocketDeadlines::Guard guard(deadlines_, *connection, deadline);
     ErrorCode ec;
     if (!reused) ec = co_await connect(*connection, endpoint_);
     if (ec) co_return ClientResponse{};
     ec = co_await send(*connection, request);
     if (ec) {
-      if (reused && core::Steady::now() < deadline) continue;
+      if (reused && core::SteadyClock::now() < deadline) continue;
       co_return ClientResponse{};
     }
     beast::flat_buffer buffer;
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -13,7 +13,7 @@
 /// Sends requests to one endpoint, each on its own connection, and keeps idle connections for reuse.
 class Client : public Transport {
  public:
-  Client(std::shared_ptr<core::Deadlines> deadlines, asio::any_io_executor executor,
+  Client(std::shared_ptr<core::SocketDeadlines> deadlines, asio::any_io_executor executor,
          config::Endpoint endpoint, std::size_t max_idle_connections = 4);
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
@@ -24,7 +24,7 @@
  private:
   using Connection = std::unique_ptr<boost::asio::ip::tcp::socket>;
   Connection take_idle_connection();
-  std::shared_ptr<core::Deadlines> deadlines_;
+  std::shared_ptr<core::SocketDeadlines> deadlines_;
   asio::any_io_executor executor_;
   config::Endpoint endpoint_;
   std::size_t max_idle_connections_;
@@ -35,7 +35,8 @@
 class TcpNetwork : public Network {
  public:
   explicit TcpNetwork(asio::any_io_executor executor)
-      : executor_(executor), deadlines_(std::make_shared<core::Deadlines>(executor, kDeadlineResolution)) {}
+      : executor_(executor),
+        deadlines_(std::make_shared<core::SocketDeadlines>(executor, kDeadlineResolution)) {}
   std::unique_ptr<Transport> connect(const config::Endpoint& endpoint,
                                      std::size_t max_idle_connections) override {
     return std::make_unique<Client>(deadlines_, executor_, endpoint, max_idle_connections);
@@ -44,7 +45,7 @@
  private:
   static constexpr std::chrono::milliseconds kDeadlineResolution{200};
   asio::any_io_executor executor_;
-  std::shared_ptr<core::Deadlines> deadlines_;
+  std::shared_ptr<core::SocketDeadlines> deadlines_;
 };
 
 }  // namespace finchrun::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -1,5 +1,3 @@
-#include "http/server.hpp"
-
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/asio/ip/address_v4.hpp>
@@ -14,6 +12,7 @@
 
 #include "core/deadlines.hpp"
 #include "http/exchange.hpp"
+#include "http/server.hpp"
 #include "http/status.hpp"
 
 namespace finchrun::http {
@@ -71,20 +70,20 @@
 
 // Serves the requests of one connection, one after the other.
 asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<Handler> handler, OpenConnection,
-                                       std::shared_ptr<core::Deadlines> deadlines) {
+                                       std::shared_ptr<core::SocketDeadlines> deadlines) {
   ErrorCode ec;
   socket.set_option(asio::ip::tcp::no_delay(true), ec);
   socket.non_blocking(true, ec);
-  core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kReadTimeout);
+  core::SocketDeadlines::Guard guard(std::move(deadlines), socket, core::SteadyClock::now() + kReadTimeout);
   beast::flat_buffer buffer;
   while (true) {
     bhttp::request_parser<bhttp::string_body> parser;
     parser.body_limit(kMaxBodyBytes);
-    guard.move_to(core::Steady::now() + kReadTimeout);
+    guard.reset(core::SteadyClock::now() + kReadTimeout);
     ec = co_await receive(socket, buffer, parser);
     if (auto rejection = rejection_of(ec)) {
       auto reply = render(std::move(*rejection), kHttp11, false);
-      guard.move_to(core::Steady::now() + kWriteTimeout);
+      guard.reset(core::SteadyClock::now() + kWriteTimeout);
       co_await send(socket, reply);
       co_return;
     }
@@ -96,10 +95,10 @@
     request.method = std::string(message.method_string());
     request.target = std::string(message.target());
     request.body = std::move(message.body());
-    guard.move_to(core::TimePoint::max());  // handlers set their own deadlines
+    guard.reset(core::TimePoint::max());  // handlers set their own deadlines
     Response response = co_await (*handler)(std::move(request));
     auto reply = render(std::move(response), version, keep_alive);
-    guard.move_to(core::Steady::now() + kWriteTimeout);
+    guard.reset(core::SteadyClock::now() + kWriteTimeout);
     ec = co_await send(socket, reply);
     if (ec || !keep_alive) co_return;
   }
@@ -113,7 +112,7 @@
       executor, asio::ip::tcp::endpoint(asio::ip::make_address_v4(endpoint.host), endpoint.port));
   auto shared = std::make_shared<Handler>(std::move(handler));
   auto open = std::make_shared<int>(0);
-  auto deadlines = std::make_shared<core::Deadlines>(executor, kDeadlineResolution);
+  auto deadlines = std::make_shared<core::SocketDeadlines>(executor, kDeadlineResolution);
   beast::error_code ec;
   auto on_error = asio::redirect_error(asio::use_awaitable, ec);
   while (true) {
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -1,5 +1,3 @@
-#include "peer/link.hpp"
-
 #include <array>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -12,6 +10,7 @@
 
 #include "core/in_flight.hpp"
 #include "http/exchange.hpp"
+#include "peer/link.hpp"
 #include "peer/messages.hpp"
 
 namespace finchrun::peer {
@@ -22,35 +21,36 @@
 using http::Socket;
 
 constexpr std::size_t kMaxIdleConnections = 3;  // to one controller
-constexpr std::size_t kSizeBytes = 4;           // that a frame's size takes
+constexpr std::size_t kSizeFieldBytes = 4;      // of the size field before a frame
 constexpr std::size_t kReadChunkBytes = 4096;
 constexpr auto kIdleTimeout = std::chrono::seconds(60);
 constexpr auto kWriteTimeout = std::chrono::seconds(5);
 constexpr auto kServerDeadlineTick = std::chrono::seconds(2);
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);  // after a failure, or above the limit
+constexpr auto kAcceptPause =
+    std::chrono::milliseconds(50);  // after a failure, or above the connection limit
 
-std::string with_size(const std::string& frame) {
-  std::string bytes(kSizeBytes, '\0');
+std::string with_size_field(const std::string& frame) {
+  std::string bytes(kSizeFieldBytes, '\0');
   boost::endian::store_big_u32(reinterpret_cast<unsigned char*>(bytes.data()),
                                static_cast<std::uint32_t>(frame.size()));
   return bytes + frame;
 }
 
-// The frame's size in its first bytes; nothing until those have come.
+// Returns the frame's size from its first bytes, nullopt until those have been received.
 std::optional<std::size_t> announced_size(const std::string& bytes) {
-  if (bytes.size() < kSizeBytes) return std::nullopt;
+  if (bytes.size() < kSizeFieldBytes) return std::nullopt;
   return boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(bytes.data()));
 }
 
-void prepare(Socket& socket) {
-  ErrorCode ignored;  // a socket that is broken shows it in the first read or write
+void configure(Socket& socket) {
+  ErrorCode ignored;  // errors of a broken socket surface in the first read or write
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
 }
 
-// False: the connection is of no more use.
+// Returns false if the connection can't be used any more.
 asio::awaitable<bool> write_frame(Socket& socket, std::string frame) {
-  const std::string bytes = with_size(frame);
+  const std::string bytes = with_size_field(frame);
   for (std::size_t written = 0; written < bytes.size();) {
     ErrorCode ec;
     written += socket.write_some(asio::buffer(bytes.data() + written, bytes.size() - written), ec);
@@ -60,38 +60,38 @@
   co_return true;
 }
 
-// Nothing: the connection is of no more use. One exchange at a time is under way on a connection, so a
-// frame's bytes are all that comes.
+// Returns nullopt if the connection can't be used any more. A connection carries one request at a time, so
+// no bytes follow the frame.
 asio::awaitable<std::optional<std::string>> read_frame(Socket& socket) {
   std::string bytes;
   std::array<char, kReadChunkBytes> chunk;
   std::optional<std::size_t> size;
-  while (!size || bytes.size() < kSizeBytes + *size) {
+  while (!size || bytes.size() < kSizeFieldBytes + *size) {
     if (const ErrorCode ec = co_await http::wait_for(socket, Socket::wait_read)) co_return std::nullopt;
     ErrorCode ec;
     const auto count = socket.read_some(asio::buffer(chunk), ec);
     if (ec && ec != asio::error::would_block) co_return std::nullopt;
     bytes.append(chunk.data(), count);
     size = announced_size(bytes);
-    if (size && *size > kMaxFrame) co_return std::nullopt;  // not one of ours
+    if (size && *size > kMaxFrameBytes) co_return std::nullopt;  // not a frame of this protocol
   }
-  if (bytes.size() > kSizeBytes + *size) co_return std::nullopt;
-  co_return bytes.substr(kSizeBytes);
+  if (bytes.size() > kSizeFieldBytes + *size) co_return std::nullopt;
+  co_return bytes.substr(kSizeFieldBytes);
 }
 
 // Answers the frames of one connection, one after the other.
 asio::awaitable<void> serve_connection(Socket socket, std::shared_ptr<FrameHandler> handler,
-                                       [[maybe_unused]] core::InFlightCounter::Place place,
-                                       std::shared_ptr<core::Deadlines> deadlines) {
-  prepare(socket);
-  core::Deadlines::Guard guard(std::move(deadlines), socket, core::Steady::now() + kIdleTimeout);
+                                       [[maybe_unused]] core::InFlightCounter::Slot slot,
+                                       std::shared_ptr<core::SocketDeadlines> deadlines) {
+  configure(socket);
+  core::SocketDeadlines::Guard guard(std::move(deadlines), socket, core::SteadyClock::now() + kIdleTimeout);
   while (true) {
-    guard.move_to(core::Steady::now() + kIdleTimeout);
+    guard.reset(core::SteadyClock::now() + kIdleTimeout);
     auto frame = co_await read_frame(socket);
     if (!frame) co_return;
-    guard.move_to(core::TimePoint::max());  // handlers have deadlines of their own
+    guard.reset(core::TimePoint::max());  // handlers have their own deadlines
     std::string answer = co_await (*handler)(std::move(*frame));
-    guard.move_to(core::Steady::now() + kWriteTimeout);
+    guard.reset(core::SteadyClock::now() + kWriteTimeout);
     if (!co_await write_frame(socket, std::move(answer))) co_return;
   }
 }
@@ -101,7 +101,7 @@
   const tcp::endpoint endpoint(asio::ip::make_address_v4(to.host), to.port);
   co_await socket.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, ec));
   if (ec) co_return false;
-  prepare(socket);
+  configure(socket);
   co_return true;
 }
 
@@ -115,11 +115,11 @@
 }
 
 asio::awaitable<std::optional<std::string>> TcpLink::call(std::string frame,
-                                                          std::chrono::milliseconds limit) {
+                                                          std::chrono::milliseconds timeout) {
   auto socket = take_idle();
   const bool connected = socket != nullptr;
   if (!connected) socket = std::make_unique<Socket>(executor_);
-  const core::Deadlines::Guard guard(deadlines_, *socket, core::Steady::now() + limit);
+  const core::SocketDeadlines::Guard guard(deadlines_, *socket, core::SteadyClock::now() + timeout);
   if (!connected && !co_await connect(*socket, to_)) co_return std::nullopt;
   if (!co_await write_frame(*socket, std::move(frame))) co_return std::nullopt;
   auto answer = co_await read_frame(*socket);
@@ -132,7 +132,7 @@
   tcp::acceptor acceptor(executor, tcp::endpoint(asio::ip::make_address_v4(at.host), at.port));
   auto shared_handler = std::make_shared<FrameHandler>(std::move(handler));
   core::InFlightCounter connections;
-  auto deadlines = std::make_shared<core::Deadlines>(executor, kServerDeadlineTick);
+  auto deadlines = std::make_shared<core::SocketDeadlines>(executor, kServerDeadlineTick);
   ErrorCode ec;
   while (true) {
     Socket socket(executor);
@@ -145,7 +145,7 @@
       continue;
     }
     asio::co_spawn(executor,
-                   serve_connection(std::move(socket), shared_handler, connections.take(), deadlines),
+                   serve_connection(std::move(socket), shared_handler, connections.acquire(), deadlines),
                    asio::detached);
   }
 }
--- a/src/sched/place.cpp
+++ b/src/sched/place.cpp
@@ -1,10 +1,9 @@
-#include "sched/place.hpp"
-
 #include <algorithm>
 #include <functional>
 #include <numeric>
 
 #include "jobs/job.hpp"
+#include "sched/place.hpp"
 
 namespace finchrun::sched {
 namespace {
@@ -46,7 +45,7 @@
 
 bool can_host(const Node& node, const JobClassProfile& job_class) {
   if (node.spot && !job_class.spot) return false;
-  return jobs::type_allowed(job_class.allowed_types, node.type) && job_class.need.fits(node.size);
+  return jobs::type_allowed(job_class.allowed_types, node.type) && job_class.need.fits_in(node.size);
 }
 
 // Replicas are small and should start within seconds, so the fetch time outweighs the resources. Several
@@ -94,7 +93,7 @@
  public:
   CheapestNodes(std::vector<Node>& nodes, const Demand& demand) : nodes_(nodes), demand_(demand) {
     for (std::size_t i = 0; i < nodes.size(); ++i)
-      if (demand.need.fits(nodes[i].free) && is_allowed_on(demand, nodes[i]) &&
+      if (demand.need.fits_in(nodes[i].free) && is_allowed_on(demand, nodes[i]) &&
           respects_reservation(demand, nodes[i]))
         heap_.emplace_back(start_cost(demand, nodes[i]), i);
     std::make_heap(heap_.begin(), heap_.end(), std::greater<>());
@@ -113,7 +112,7 @@
       ++node.fetches_in_progress;
       fetching_.push_back(index);
     }
-    if (demand_.need.fits(node.free)) {
+    if (demand_.need.fits_in(node.free)) {
       heap_.emplace_back(start_cost(demand_, node), index);
       std::push_heap(heap_.begin(), heap_.end(), std::greater<>());
     }
@@ -202,7 +201,7 @@
     if (job_class.active_tasks <= 0) continue;
     double places = 0;
     for (const auto& node : nodes)
-      if (can_host(node, job_class)) places += job_class.need.times_in(node.size);
+      if (can_host(node, job_class)) places += job_class.need.max_copies_in(node.size);
     if (places <= 0) continue;
     for (auto& node : nodes)
       if (can_host(node, job_class)) node.scarcity[i] = job_class.active_tasks / places;
--- a/src/sched/preempt.cpp
+++ b/src/sched/preempt.cpp
@@ -1,11 +1,10 @@
-#include "sched/preempt.hpp"
-
 #include <algorithm>
 #include <functional>
 #include <optional>
 #include <unordered_map>
 
 #include "jobs/job.hpp"
+#include "sched/preempt.hpp"
 
 namespace finchrun::sched {
 namespace {
@@ -60,7 +59,7 @@
 
 // Ignores other running tasks.
 bool could_run_on(const Demand& demand, const Node& node) {
-  return is_allowed_on(demand, node) && demand.need.fits(node.size) &&
+  return is_allowed_on(demand, node) && demand.need.fits_in(node.size) &&
          (!node.reserved_for.valid() || node.reserved_for == demand.job);
 }
 
@@ -160,11 +159,11 @@
   [[nodiscard]] std::optional<Victims> victims_on(std::size_t node) const {
     const auto& running = snapshot_.running;
     auto free = state_.free[node];
-    if (demand_.need.fits(free)) return Victims{};
+    if (demand_.need.fits_in(free)) return Victims{};
     auto candidates = candidates_on(node);
     auto max_free = free;
     for (const auto i : candidates) max_free += running[i].need;
-    if (!demand_.need.fits(max_free)) return std::nullopt;
+    if (!demand_.need.fits_in(max_free)) return std::nullopt;
     // Lowest priority first, then lowest stop cost.
     std::sort(candidates.begin(), candidates.end(), [&](std::size_t a, std::size_t b) {
       if (running[a].priority != running[b].priority) return running[a].priority < running[b].priority;
@@ -173,7 +172,7 @@
     auto guarantees = state_.guarantees;
     Victims victims;
     for (const auto i : candidates) {
-      if (demand_.need.fits(free)) break;
+      if (demand_.need.fits_in(free)) break;
       // Earlier victims may have reduced the team's usage to its guarantee.
       if (!may_preempt_task(demand_, running[i], guarantees)) continue;
       guarantees.at(running[i].team.index).used -= running[i].need;
@@ -181,7 +180,7 @@
       victims.cost += stop_cost(running[i]);
       victims.tasks.push_back(i);
     }
-    if (!demand_.need.fits(free)) return std::nullopt;
+    if (!demand_.need.fits_in(free)) return std::nullopt;
     return victims;
   }
 
@@ -279,7 +278,7 @@
   auto free = nodes[node].free;
   int counted = 0;
   const auto append = [&](double free_in_s) {
-    for (const int fitting = demand.need.times_in(free); counted < fitting; ++counted)
+    for (const int fitting = demand.need.max_copies_in(free); counted < fitting; ++counted)
       places.push_back({free_in_s, node});
   };
   append(0);
--- a/src/sched/preempt.hpp
+++ b/src/sched/preempt.hpp
@@ -30,7 +30,7 @@
   double cpus = 0, gpus = 0;  // guarantee; 0: none
   /// Returns true if the team would use at least its guarantee without `released`, or has no guarantee.
   [[nodiscard]] bool fully_used_without(const core::Resources& released) const {
-    constexpr double kSlack = core::Resources::kSlack;
+    constexpr double kSlack = core::Resources::kRoundingTolerance;
     const bool by_gpus = gpus > 0 && used.gpus - released.gpus >= gpus - kSlack;
     const bool by_cpus = cpus > 0 && used.cpus - released.cpus >= cpus - kSlack;
     return (gpus <= 0 && cpus <= 0) || by_gpus || by_cpus;
--- a/src/scheduling/cluster_load.cpp
+++ b/src/scheduling/cluster_load.cpp
@@ -1,5 +1,4 @@
 #include "scheduling/cluster_load.hpp"
-
 #include "scheduling/waiting_tasks.hpp"
 
 namespace finchrun::scheduling {
@@ -22,7 +21,7 @@
 }
 
 void add_waiting_tasks(ClusterLoad& load, const ControllerState& state) {
-  for (const auto id : state.cache.live()) {
+  for (const auto id : state.cache.live_jobs()) {
     const WaitingTasks tasks(state.cache, id);
     if (!tasks.has_waiting()) continue;
     const auto& need = state.cache.job(id)->spec.need;
@@ -46,7 +45,8 @@
 
 const ClusterLoad& current_load(ControllerState& state, core::TimePoint now) {
   auto& load = state.cluster_load;
-  if (load.computed_at != core::TimePoint{} && core::since(load.computed_at, now) < kMaxLoadAgeS) return load;
+  if (load.computed_at != core::TimePoint{} && core::seconds_between(load.computed_at, now) < kMaxLoadAgeS)
+    return load;
   load = {};
   load.computed_at = now;
   load.waiting_demand.resize(state.partitions.size());
@@ -81,8 +81,8 @@
   for (const auto& machine : load.machines) {
     if (!spec.allows_type(machine.type) || (machine.spot && !spec.spot)) continue;
     auto& capacity = capacities[machine.partition.index];
-    capacity.free += spec.need.times_in(machine.free);
-    capacity.capacity += spec.need.times_in(machine.size);
+    capacity.free += spec.need.max_copies_in(machine.free);
+    capacity.capacity += spec.need.max_copies_in(machine.size);
   }
   return capacities;
 }
--- a/src/scheduling/partition_writer.cpp
+++ b/src/scheduling/partition_writer.cpp
@@ -1,9 +1,9 @@
-#include "scheduling/partition_writer.hpp"
-
 #include <algorithm>
 #include <set>
 #include <string>
 
+#include "scheduling/partition_writer.hpp"
+
 namespace finchrun::scheduling {
 
 namespace {
@@ -38,7 +38,7 @@
     co_await pause.wait(kMinWritePauseS);
     co_await wakeup_.wait(std::max(0.0, tuning_.write_batch_interval_s - kMinWritePauseS));
     update_write_share();
-    const auto now = core::Steady::now();
+    const auto now = core::SteadyClock::now();
     const auto cache_version = state_.with([](ControllerState& state) { return state.cache.version(); });
     if (is_round_due(now, cache_version)) {
       co_await run_round(now, cache_version);
@@ -53,14 +53,14 @@
 }
 
 bool PartitionWriter::is_round_due(core::TimePoint now, std::uint64_t cache_version) const {
-  return now >= next_round_ ||
-         (cache_version != round_cache_version_ && core::since(last_round_, now) >= kMinRoundIntervalS);
+  return now >= next_round_ || (cache_version != round_cache_version_ &&
+                                core::seconds_between(last_round_, now) >= kMinRoundIntervalS);
 }
 
 asio::awaitable<void> PartitionWriter::run_round(core::TimePoint now, std::uint64_t cache_version) {
-  next_round_ = now + core::secs(tuning_.scheduling_interval_s);
+  next_round_ = now + core::to_duration(tuning_.scheduling_interval_s);
   const double round_s =
-      std::min(tuning_.scheduling_interval_s * kMaxRoundsBooked, core::since(last_round_, now));
+      std::min(tuning_.scheduling_interval_s * kMaxRoundsBooked, core::seconds_between(last_round_, now));
   last_round_ = now;
   round_cache_version_ = cache_version;
   // The round's transactions also record task exits, so that the flush has little left to write.
@@ -71,7 +71,7 @@
 }
 
 void PartitionWriter::update_write_share() {
-  store_.use_share_of_writes(state_.with([](ControllerState& state) {
+  store_.set_write_share(state_.with([](ControllerState& state) {
     std::set<std::string> leaders;
     for (std::uint32_t p = 0; p < state.partitions.size(); ++p)
       if (const auto& leader = state.cache.leadership(core::PartitionId{p}).leader; !leader.empty())
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,10 +1,10 @@
-#include "scheduling/preemption.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <map>
 
+#include "scheduling/preemption.hpp"
+
 namespace finchrun::scheduling {
 
 namespace {
@@ -41,14 +41,14 @@
   auto* machine = state.fleet.find(id);
   if (!machine) return;
   machine->reserved_for = job;
-  machine->reservation_ready_at = now + core::secs(ready_in_s);
-  machine->reservation_expires_at = now + core::secs(duration_s);
+  machine->reservation_ready_at = now + core::to_duration(ready_in_s);
+  machine->reservation_expires_at = now + core::to_duration(duration_s);
 }
 
 // Returns the run time since a heartbeat first reported the task, or 0 if none has.
 double ran_s(const ControllerState& state, const agent::TaskAttempt& attempt, core::TimePoint now) {
   const auto confirmed = state.fleet.confirmed_starts.find(attempt);
-  return confirmed == state.fleet.confirmed_starts.end() ? 0 : core::since(confirmed->second, now);
+  return confirmed == state.fleet.confirmed_starts.end() ? 0 : core::seconds_between(confirmed->second, now);
 }
 
 // Returns nullopt if the task cannot be preempted: its job is over, or it is being stopped or has ended.
@@ -149,7 +149,7 @@
                                               const std::set<core::JobId>& within_guarantee,
                                               core::TimePoint now) {
   std::vector<sched::RunningTask> running;
-  state.cache.each_named_machine(
+  state.cache.for_each_assigned_machine(
       [&](core::MachineId machine, const std::vector<state::MachineAssignment>& on_machine) {
         for (const auto& placed : on_machine) {
           if (placed.partition != partition) continue;
@@ -168,7 +168,7 @@
     evict_from(state, id, *machine.termination_notice_s, gangs);
   }
   for (const auto id : gangs) {
-    state.cache.each_run(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
+    state.cache.for_each_assignments(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
       if (!state.leads(partition)) return;
       for (const auto& assignment : run.assignments) evict_gracefully(state, id, assignment);
     });
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -1,9 +1,8 @@
-#include "scheduling/round_view.hpp"
-
 #include <algorithm>
 
 #include "controller/quota_usage.hpp"
 #include "scheduling/preemption.hpp"
+#include "scheduling/round_view.hpp"
 
 namespace finchrun::scheduling {
 
@@ -47,17 +46,18 @@
 // Adds `seconds` of usage for each task that heartbeats have confirmed in the partitions led here.
 void book_usage(ControllerState& state, double wall_s, double seconds) {
   const auto teams = state.settings.teams.size();
-  state.cache.each_run([&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
-    if (run.assignments.empty() || !state.leads(partition)) return;
-    const auto* job = state.cache.job(id);
-    if (!job || job->spec.team.index >= teams) return;
-    const auto running = std::count_if(
-        run.assignments.begin(), run.assignments.end(), [&](const jobs::TaskAssignment& assignment) {
-          return state.fleet.confirmed_starts.contains({id, assignment.task, assignment.attempt});
-        });
-    state.usage[partition.index].add(job->spec.team,
-                                     job->spec.need.cpus * seconds * static_cast<double>(running), wall_s);
-  });
+  state.cache.for_each_assignments(
+      [&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
+        if (run.assignments.empty() || !state.leads(partition)) return;
+        const auto* job = state.cache.job(id);
+        if (!job || job->spec.team.index >= teams) return;
+        const auto running = std::count_if(
+            run.assignments.begin(), run.assignments.end(), [&](const jobs::TaskAssignment& assignment) {
+              return state.fleet.confirmed_starts.contains({id, assignment.task, assignment.attempt});
+            });
+        state.usage[partition.index].add(
+            job->spec.team, job->spec.need.cpus * seconds * static_cast<double>(running), wall_s);
+      });
 }
 
 // Returns the decayed usage by team in one partition; for another leader's partition from its last record.
@@ -148,7 +148,7 @@
 
 void add_demands(const ControllerState& state, double wall_s, core::TimePoint now, RoundView& view) {
   const auto reserved = jobs_with_reservation(state, now);
-  for (const auto id : state.cache.live()) {
+  for (const auto id : state.cache.live_jobs()) {
     const auto& spec = state.cache.job(id)->spec;
     // The team may have been removed from the settings.
     if (spec.team.index >= view.used_by_team.size() || !may_start_now(state, id, now)) continue;
@@ -171,7 +171,7 @@
 
 bool may_run_in_other_zone(const ControllerState& state, core::JobId id, core::PartitionId partition) {
   bool elsewhere = false;
-  state.cache.each_run(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
+  state.cache.for_each_assignments(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
     elsewhere = elsewhere || (state.partitions.zone(other) != state.partitions.zone(partition) &&
                               !run.assignments.empty());
   });
@@ -207,7 +207,7 @@
   if (machine.cordoned_until > now) node.start_delay_s = kCordonedStartDelayS;
   if (machine.reservation_expires_at > now) {
     node.reserved_for = machine.reserved_for;
-    node.reservation_starts_in_s = std::max(0.0, core::since(now, machine.reservation_ready_at));
+    node.reservation_starts_in_s = std::max(0.0, core::seconds_between(now, machine.reservation_ready_at));
   }
   return node;
 }
@@ -224,7 +224,7 @@
     if (range.partition != partition &&
         state.partitions.zone(range.partition) == state.partitions.zone(partition))
       in_zone += range.to - range.from;
-  state.cache.each_run(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
+  state.cache.for_each_assignments(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
     if (other == partition) in_zone += static_cast<std::uint32_t>(run.assignments.size());
   });
   const auto cap = job.spec.max_tasks_per_zone();
@@ -236,7 +236,7 @@
   const auto& job = *state.cache.job(id);
   const auto& spec = job.spec;
   // A gang cannot restart until all tasks of its earlier attempt have ended in all partitions.
-  if (spec.is_gang() && state.cache.placed(id) > 0) return std::nullopt;
+  if (spec.is_gang() && state.cache.placed_tasks(id) > 0) return std::nullopt;
   sched::Demand demand;
   demand.tasks = waiting.first_tasks(partition, spec.is_gang() ? spec.tasks : kMaxTasksPerJob);
   if (demand.tasks.empty() || (spec.is_gang() && demand.tasks.size() != spec.tasks)) return std::nullopt;
@@ -261,13 +261,13 @@
 
 std::optional<RoundView> build_round_view(ControllerState& state, double round_s, core::TimePoint now) {
   if (!state.cache_loaded || state.fleet.machine_types.empty() ||
-      core::since(state.synchronized_at, now) > kMaxCacheAgeS)
+      core::seconds_between(state.synchronized_at, now) > kMaxCacheAgeS)
     return std::nullopt;
-  const double wall_s = core::wall_s();
+  const double wall_s = core::unix_time_s();
   state.drop_recorded_exits();
   const auto used = state.used_by_partition();
   RoundView view;
-  view.attempt = state.cache.newest() + 1;
+  view.attempt = state.cache.newest_revision() + 1;
   view.team_shares = state.fair_share_weights;
   view.used_by_team = controller::sum_by_team(used, state.settings.teams.size());
   view.guarantees = guarantees_of(state.settings.teams, view.used_by_team);
--- a/src/scheduling/scheduling_round.cpp
+++ b/src/scheduling/scheduling_round.cpp
@@ -1,10 +1,10 @@
-#include "scheduling/scheduling_round.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include <iterator>
 #include <map>
 
+#include "scheduling/scheduling_round.hpp"
+
 namespace finchrun::scheduling {
 
 using assignments::PlannedPlacement;
@@ -59,7 +59,7 @@
 
 asio::awaitable<std::optional<core::TimePoint>> SchedulingRound::run(double round_s) {
   co_await recorder_.move_due_fences();
-  const auto now = core::Steady::now();
+  const auto now = core::SteadyClock::now();
   backlog_.clear();
   quota_.clear();
   auto view = state_.with([&](ControllerState& state) { return build_round_view(state, round_s, now); });
--- a/src/scheduling/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -1,16 +1,16 @@
-#include "scheduling/waiting_tasks.hpp"
-
 #include <algorithm>
 
+#include "scheduling/waiting_tasks.hpp"
+
 namespace finchrun::scheduling {
 
 WaitingTasks::WaitingTasks(const state::StateCache& cache, core::JobId id) : job_(cache.job(id)) {
   const auto tasks = job_->spec.tasks;
   // Most jobs have no waiting tasks, which the counters show without a pass over the tasks.
-  has_waiting_ = cache.done(id) + cache.placed(id) < tasks;
+  has_waiting_ = cache.done_tasks(id) + cache.placed_tasks(id) < tasks;
   if (!has_waiting_) return;
   busy_.assign(tasks, false);
-  cache.each_run(id, [&](core::PartitionId, const jobs::JobAssignments& run) { mark_busy(run); });
+  cache.for_each_assignments(id, [&](core::PartitionId, const jobs::JobAssignments& run) { mark_busy(run); });
 }
 
 void WaitingTasks::mark_busy(const jobs::JobAssignments& run) {
--- a/tests/agent/heartbeat_handler_test.cpp
+++ b/tests/agent/heartbeat_handler_test.cpp
@@ -1,9 +1,9 @@
-#include "agent/heartbeat_handler.hpp"
-
 #include <gtest/gtest.h>
 
 #include <functional>
 
+#include "agent/heartbeat_handler.hpp"
+
 namespace finchrun::agent {
 namespace {
 
@@ -63,7 +63,7 @@
   state::StateCache cache;
   Fleet fleet;
   std::unordered_map<core::JobId, JobFailures> job_failures;
-  core::TimePoint now{core::secs(1000)};
+  core::TimePoint now{core::to_duration(1000)};
   Machine* machine = nullptr;
 };
 
@@ -87,7 +87,7 @@
     Fixture fixture;
     fixture.job_failures[core::JobId{0}].machines.insert(core::MachineId{77});
     fixture.job_failures[core::JobId{0}].last_failure = fixture.now;
-    fixture.now += core::secs(apart_s);
+    fixture.now += core::to_duration(apart_s);
     fixture.heartbeat(2, 1, 50, {{"req-1", 0, 7, TaskState::ended, ExitCause::error, false}});
     EXPECT_EQ(fixture.job_failures[core::JobId{0}].retry_at > fixture.now, apart_s < 100) << apart_s;
   }
@@ -232,15 +232,15 @@
                                      [](Fixture& fixture) { fixture.heartbeat(3, 12, 50, {}); }, true},
                     ReachabilityCase{"incarnation_longer_than_a_lease_was_answered",
                                      [](Fixture& fixture) {
-                                       fixture.now += core::secs(12);
+                                       fixture.now += core::to_duration(12);
                                        fixture.heartbeat(3, 12, 50, {});
                                      },
                                      false},
                     ReachabilityCase{"another_new_incarnation_restarts_the_time",
                                      [](Fixture& fixture) {
-                                       fixture.now += core::secs(12);
+                                       fixture.now += core::to_duration(12);
                                        fixture.heartbeat(4, 12, 50, {});
-                                       fixture.now += core::secs(5);
+                                       fixture.now += core::to_duration(5);
                                        fixture.heartbeat(4, 13, 50, {});
                                      },
                                      true},
--- a/tests/agent/machine_test.cpp
+++ b/tests/agent/machine_test.cpp
@@ -1,13 +1,12 @@
-#include "agent/machine.hpp"
-
 #include <gtest/gtest.h>
 
 #include "agent/heartbeat_handler.hpp"
+#include "agent/machine.hpp"
 
 namespace finchrun::agent {
 namespace {
 
-core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
+core::TimePoint at(double seconds) { return core::TimePoint(core::to_duration(seconds)); }
 
 TEST(Machine, MessageIsOutdatedUnlessItIsNewer) {
   struct Case {
@@ -62,7 +61,7 @@
   std::vector<double> backoffs_s;
   for (std::uint32_t machine = 1; machine < 5; ++machine) {
     failures.record(core::MachineId{machine}, at(110));
-    backoffs_s.push_back(core::since(at(110), failures.retry_at));
+    backoffs_s.push_back(core::seconds_between(at(110), failures.retry_at));
   }
   EXPECT_EQ(backoffs_s, (std::vector<double>{8, 16, 32, 60}));
   EXPECT_EQ(failures.failures, 6);
--- a/tests/app/cluster_test.cpp
+++ b/tests/app/cluster_test.cpp
@@ -21,7 +21,7 @@
   for (const std::uint32_t seed : {7u, 8u}) {
     Cluster cluster(seed);
     submit_mixed_jobs(cluster, 12, 30);
-    cluster.faults_over_at = core::Steady::now() + core::secs(120);
+    cluster.faults_over_at = core::SteadyClock::now() + core::to_duration(120);
     GetParam().inject_faults(cluster);
     cluster.run(220);
     expect_no_violations(cluster);
@@ -50,7 +50,7 @@
         FaultScenario{"store_outage",
                       [](Cluster& cluster) {
                         cluster.after(15, [&cluster] { cluster.store.outage = true; });
-                        cluster.after(30, [&cluster] { cluster.store.recover(core::Steady::now()); });
+                        cluster.after(30, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
                       }},
         FaultScenario{"one_controller_cut_off_from_store",
                       [](Cluster& cluster) {
@@ -105,7 +105,7 @@
                         cluster.after(14, [&cluster] { cluster.store.outage = true; });
                         for (std::size_t n = 0; n < 3; ++n)
                           cluster.after(20, [&cluster, n] { cluster.crash(n, n == 0 ? 0.2 : 3); });
-                        cluster.after(29, [&cluster] { cluster.store.recover(core::Steady::now()); });
+                        cluster.after(29, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
                       }},
         FaultScenario{"half_of_all_agents_suspended_past_their_lease_with_late_duplicates",
                       [](Cluster& cluster) {
@@ -262,7 +262,7 @@
   }
   const double outage_s = random_time_s();
   cluster.after(outage_s, [&cluster] { cluster.store.outage = true; });
-  cluster.after(outage_s + 3 + rng() % 15, [&cluster] { cluster.store.recover(core::Steady::now()); });
+  cluster.after(outage_s + 3 + rng() % 15, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
   for (int i = 0; i < 4; ++i) {
     const double start_s = random_time_s();
     const auto pick = rng();
--- a/tests/app/overlapping_faults_test.cpp
+++ b/tests/app/overlapping_faults_test.cpp
@@ -39,13 +39,13 @@
     cluster.after(time_s, [&cluster] { cancel_running_jobs(cluster, 1); });
   cluster.after(outage_at, [&cluster] { cluster.store.outage = true; });
   cluster.after(rejected_at + 14, [&cluster] { cluster.refused_by_store.clear(); });
-  cluster.after(outage_at + outage_s, [&cluster] { cluster.store.recover(core::Steady::now()); });
+  cluster.after(outage_at + outage_s, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
 }
 
 // Tests the check for starvation: a job waits while machines that no controller reaches have free capacity.
 TEST(OverlappingFaults, ReportsAJobThatStarvesBesideFreeCapacity) {
   Cluster cluster(4);
-  cluster.faults_over_at = core::Steady::now() + core::secs(10);
+  cluster.faults_over_at = core::SteadyClock::now() + core::to_duration(10);
   cluster.after(8, [&cluster] {
     for (std::size_t n = 0; n < 3; ++n)
       for (const char* zone : {"zone a", "zone b"}) cluster.blocked_links.insert({n, zone});
@@ -68,7 +68,7 @@
   for (const std::uint32_t seed : {7u, 8u}) {
     Cluster cluster(seed, 3, 3, scenario.timing);
     submit_mixed_jobs(cluster, 9, 25);
-    cluster.faults_over_at = core::Steady::now() + core::secs(scenario.faults_over_s);
+    cluster.faults_over_at = core::SteadyClock::now() + core::to_duration(scenario.faults_over_s);
     scenario.inject_faults(cluster);
     cluster.run(scenario.faults_over_s + 150);
     expect_no_violations(cluster);
@@ -368,7 +368,7 @@
                             cluster.crash(cluster.busiest_leader(), i % 3 == 0 ? 0.3 : 5);
                           });
                         cluster.after(55, [&cluster] { cluster.store.outage = true; });
-                        cluster.after(63, [&cluster] { cluster.store.recover(core::Steady::now()); });
+                        cluster.after(63, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
                         cluster.after(40, [&cluster] { cancel_running_jobs(cluster, 2); });
                       }},
         FaultScenario{"store_slow_while_users_cancel_and_query", kShortLeases, 100,
@@ -405,18 +405,18 @@
                                          kMediumLeases, true),
         reject_leader_then_fail_scenario("store_rejects_leader_cut_off_from_peers_then_fails_long_leases",
                                          kLongLeases, true),
-        FaultScenario{"cancellations_as_the_store_rejects_the_leader_one_second_before_an_outage",
-                      kMediumLeases, 85,
-                      [](Cluster& cluster) {
-                        submit_long_arrays(cluster, 60);
-                        cluster.after(20, [&cluster] {
-                          cluster.refused_by_store.insert(cluster.busiest_leader());
-                          cancel_running_jobs(cluster, 4);
-                        });
-                        cluster.after(21, [&cluster] { cluster.store.outage = true; });
-                        cluster.after(21 + 47, [&cluster] { cluster.store.recover(core::Steady::now()); });
-                        cluster.after(34, [&cluster] { cluster.refused_by_store.clear(); });
-                      }},
+        FaultScenario{
+            "cancellations_as_the_store_rejects_the_leader_one_second_before_an_outage", kMediumLeases, 85,
+            [](Cluster& cluster) {
+              submit_long_arrays(cluster, 60);
+              cluster.after(20, [&cluster] {
+                cluster.refused_by_store.insert(cluster.busiest_leader());
+                cancel_running_jobs(cluster, 4);
+              });
+              cluster.after(21, [&cluster] { cluster.store.outage = true; });
+              cluster.after(21 + 47, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
+              cluster.after(34, [&cluster] { cluster.refused_by_store.clear(); });
+            }},
         FaultScenario{"cancellations_while_all_agents_of_a_partition_are_suspended_past_cancel_s",
                       kMediumLeases, 100,
                       [](Cluster& cluster) {
@@ -500,7 +500,7 @@
       },
       [&](double duration_s, std::uint32_t) {
         cluster.store.outage = true;
-        cluster.after(duration_s, [&cluster] { cluster.store.recover(core::Steady::now()); });
+        cluster.after(duration_s, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
       },
       [&](double duration_s, std::uint32_t) {
         const auto controller = cluster.busiest_leader();
--- a/tests/app/services_test.cpp
+++ b/tests/app/services_test.cpp
@@ -100,7 +100,7 @@
     Cluster cluster(seed);
     submit_mixed_jobs(cluster, 9, 30);
     submit_services(cluster, 4);
-    cluster.faults_over_at = core::Steady::now() + core::secs(120);
+    cluster.faults_over_at = core::SteadyClock::now() + core::to_duration(120);
     GetParam().inject_faults(cluster);
     cluster.run(200);
     expect_no_violations(cluster);
@@ -127,8 +127,8 @@
                     FaultScenario{"store_outage",
                                   [](Cluster& cluster) {
                                     cluster.after(25, [&cluster] { cluster.store.outage = true; });
-                                    cluster.after(45,
-                                                  [&cluster] { cluster.store.recover(core::Steady::now()); });
+                                    cluster.after(
+                                        45, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
                                   },
                                   0.02},
                     FaultScenario{"a_machine_dies",
@@ -157,7 +157,7 @@
     Cluster cluster(seed, 3, 5);
     submit_mixed_jobs(cluster, 24, 60);
     cluster.after(10, [&cluster] { cluster.submit(60, false, 0.1, 40, "red", "normal"); });
-    cluster.faults_over_at = core::Steady::now() + core::secs(140);
+    cluster.faults_over_at = core::SteadyClock::now() + core::to_duration(140);
     cluster.after(20, [&cluster] { cluster.announce_store_limits({1000, 200, 1, 5}); });
     for (std::size_t n = 0; n < 3; ++n)
       cluster.after(21 + 5 * static_cast<double>(n), [&cluster, n] { cluster.crash(n, 1); });
--- a/tests/assignments/assignment_writer_test.cpp
+++ b/tests/assignments/assignment_writer_test.cpp
@@ -1,7 +1,6 @@
-#include "assignments/assignment_writer.hpp"
-
 #include <gtest/gtest.h>
 
+#include "assignments/assignment_writer.hpp"
 #include "assignments/exit_plan.hpp"
 #include "assignments/single_partition.hpp"
 #include "scheduling/waiting_tasks.hpp"
@@ -23,7 +22,7 @@
   writer.write_to(transaction);
   EXPECT_LE(transaction.writes.size(), 4u);
   leader.apply(transaction);
-  for (const auto id : ids) EXPECT_EQ(leader.state.cache.placed(id), 4u);
+  for (const auto id : ids) EXPECT_EQ(leader.state.cache.placed_tasks(id), 4u);
 }
 
 struct SizeCase {
@@ -44,7 +43,7 @@
     EXPECT_LE(largest_value(transaction), 8192u);
     leader.apply(transaction);
   }
-  EXPECT_EQ(leader.state.cache.placed(id), GetParam().tasks);
+  EXPECT_EQ(leader.state.cache.placed_tasks(id), GetParam().tasks);
   // Every second task ends, which gives the maximum number of intervals of done tasks.
   for (std::uint32_t round = 0; round < 8; ++round) {
     AssignmentWriter writer(leader.state, leader.partition);
@@ -56,10 +55,10 @@
     leader.apply(transaction);
   }
   if (!GetParam().gang) {
-    EXPECT_EQ(leader.state.cache.done(id), (GetParam().tasks + 1) / 2);
+    EXPECT_EQ(leader.state.cache.done_tasks(id), (GetParam().tasks + 1) / 2);
     EXPECT_EQ(WaitingTasks(leader.state.cache, id).count(leader.partition), 0u);
   }
-  EXPECT_EQ(leader.state.cache.placed(id), GetParam().tasks / 2);
+  EXPECT_EQ(leader.state.cache.placed_tasks(id), GetParam().tasks / 2);
 }
 INSTANTIATE_TEST_SUITE_P(Table, ShardSize,
                          testing::Values(SizeCase{"one_task", 1, false}, SizeCase{"gang_of_16", 16, true},
@@ -94,7 +93,7 @@
   writer.write_to(transaction);
   leader.apply(transaction);
   EXPECT_TRUE(leader.state.cache.shard_assignments(over).empty());
-  EXPECT_EQ(leader.state.cache.placed(live), 1u);
+  EXPECT_EQ(leader.state.cache.placed_tasks(live), 1u);
 }
 
 TEST(AssignmentWriter, ComparesFencingTokenFenceAndShards) {
@@ -137,8 +136,8 @@
   EXPECT_EQ(transaction.writes[0].key, "ends/a.0");
   leader.apply(transaction);
   for (const auto id : ids) {
-    EXPECT_EQ(leader.state.cache.done(id), id == ids[0] ? 2u : 1u);
-    EXPECT_EQ(leader.state.cache.placed(id), id == ids[0] ? 98u : 99u);
+    EXPECT_EQ(leader.state.cache.done_tasks(id), id == ids[0] ? 2u : 1u);
+    EXPECT_EQ(leader.state.cache.placed_tasks(id), id == ids[0] ? 98u : 99u);
     EXPECT_FALSE(leader.state.cache.has_assignment(id, leader.partition, 7, 9));
   }
 }
@@ -188,13 +187,13 @@
       ASSERT_EQ(leader.state.cache.has_assignment(id, leader.partition, i, 9), i >= t + 3)
           << "task " << i << " after " << t;
   }
-  EXPECT_EQ(leader.state.cache.done(id), 150u);
-  EXPECT_EQ(leader.state.cache.placed(other), 10u);
+  EXPECT_EQ(leader.state.cache.done_tasks(id), 150u);
+  EXPECT_EQ(leader.state.cache.placed_tasks(other), 10u);
   for (const auto& update : all) reader.cache.apply(update);
   const auto read = *reader.names.jobs.find("req-1");
-  EXPECT_EQ(reader.cache.done(read), 150u);
-  EXPECT_EQ(reader.cache.placed(read), 0u);
-  EXPECT_EQ(reader.cache.placed(*reader.names.jobs.find("req-2")), 10u);
+  EXPECT_EQ(reader.cache.done_tasks(read), 150u);
+  EXPECT_EQ(reader.cache.placed_tasks(read), 0u);
+  EXPECT_EQ(reader.cache.placed_tasks(*reader.names.jobs.find("req-2")), 10u);
 }
 INSTANTIATE_TEST_SUITE_P(Table, TombstoneKeyOrder,
                          testing::Values(KeyOrderCase{"shards_before_tombstones", true},
@@ -245,7 +244,7 @@
     leader.apply(transaction);
   }
   std::size_t assignments = 0;
-  leader.state.cache.each_named_machine([&](core::MachineId, const auto& list) {
+  leader.state.cache.for_each_assigned_machine([&](core::MachineId, const auto& list) {
     EXPECT_EQ(list.size(), 2u);
     assignments += list.size();
   });
--- a/tests/autoscaling/scale_out_plan_test.cpp
+++ b/tests/autoscaling/scale_out_plan_test.cpp
@@ -1,17 +1,16 @@
-#include "autoscaling/scale_out_plan.hpp"
-
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
+#include "autoscaling/scale_out_plan.hpp"
 
 namespace finchrun::autoscaling {
 namespace {
 
 using assignments::SinglePartition;
 
-const core::TimePoint kNow{core::secs(10000)};
+const core::TimePoint kNow{core::to_duration(10000)};
 
 /// A controller that leads partition "a.0", with the machine types "cpu.4" and, more expensive, "gpu.1".
 struct Fixture : SinglePartition {
@@ -29,7 +28,7 @@
     machine.spot = spot;
     machine.status = status;
     machine.has_heartbeat = machine.status == "running";
-    machine.first_seen = machine.starting_since = kNow - core::secs(30);
+    machine.first_seen = machine.starting_since = kNow - core::to_duration(30);
     return machine;
   }
   /// Adds tasks of one CPU each to the backlog.
@@ -140,7 +139,8 @@
              {{kCpu, 1}}},
         Case{"overdue_machine_takes_no_tasks",
              [](Fixture& fixture) {
-               fixture.add_machine("m-1", 0, false, "starting").starting_since = kNow - core::secs(121);
+               fixture.add_machine("m-1", 0, false, "starting").starting_since =
+                   kNow - core::to_duration(121);
                fixture.add_demand(8);
              },
              {{kCpu, 2}}},
@@ -152,7 +152,7 @@
              {{kCpu, 2}}},
         Case{"backed_off_kind_is_skipped",
              [](Fixture& fixture) {
-               fixture.backoff.back_off(kCpu, kNow + core::secs(1));
+               fixture.backoff.back_off(kCpu, kNow + core::to_duration(1));
                fixture.add_demand(8);
              },
              {{kGpu, 1}}},
@@ -164,20 +164,23 @@
              {{kCpu, 2}}},
         Case{"on_demand_exhausted",
              [](Fixture& fixture) {
-               for (const auto& kind : {kCpu, kGpu}) fixture.backoff.back_off(kind, kNow + core::secs(1));
+               for (const auto& kind : {kCpu, kGpu})
+                 fixture.backoff.back_off(kind, kNow + core::to_duration(1));
                fixture.add_demand(8);
              },
              {}},
         Case{"spot_instances_relieve_on_demand",
              [](Fixture& fixture) {
-               for (const auto& kind : {kCpu, kGpu}) fixture.backoff.back_off(kind, kNow + core::secs(1));
+               for (const auto& kind : {kCpu, kGpu})
+                 fixture.backoff.back_off(kind, kNow + core::to_duration(1));
                fixture.add_spot_work();
                fixture.add_demand(8);
              },
              {{kCpuSpot, 2}}},
         Case{"free_spot_capacity_counts_as_relief",
              [](Fixture& fixture) {
-               for (const auto& kind : {kCpu, kGpu}) fixture.backoff.back_off(kind, kNow + core::secs(1));
+               for (const auto& kind : {kCpu, kGpu})
+                 fixture.backoff.back_off(kind, kNow + core::to_duration(1));
                fixture.add_spot_work();
                fixture.add_machine("m-1", 0, true, "running");
                fixture.add_demand(8);
--- a/tests/controller/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -1,10 +1,9 @@
-#include "controller/controller_state.hpp"
-
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
+#include "controller/controller_state.hpp"
 
 namespace finchrun::controller {
 
@@ -34,7 +33,7 @@
     ++revision;
     state.cache.apply({"members/perch-" + std::to_string(revision), boost::json::parse(record), revision});
   }
-  EXPECT_EQ(state.all_members_support(state::kStandingJobs), GetParam().supported);
+  EXPECT_EQ(state.all_members_support(state::kServicesLevel), GetParam().supported);
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, AllMembersSupport,
@@ -48,11 +47,11 @@
   ControllerState state(settings(), {});
   auto& machine = state.fleet.find_or_add(state.names, "host-1");
   machine.partition = core::PartitionId{0};
-  machine.first_seen = core::TimePoint(core::secs(10));
-  state.leading_since[0] = core::TimePoint(core::secs(200));
-  EXPECT_DOUBLE_EQ(state.seconds_since_heartbeat(machine, core::TimePoint(core::secs(203))), 3);
-  machine.last_heartbeat = core::TimePoint(core::secs(202));
-  EXPECT_DOUBLE_EQ(state.seconds_since_heartbeat(machine, core::TimePoint(core::secs(203))), 1);
+  machine.first_seen = core::TimePoint(core::to_duration(10));
+  state.leading_since[0] = core::TimePoint(core::to_duration(200));
+  EXPECT_DOUBLE_EQ(state.seconds_since_heartbeat(machine, core::TimePoint(core::to_duration(203))), 3);
+  machine.last_heartbeat = core::TimePoint(core::to_duration(202));
+  EXPECT_DOUBLE_EQ(state.seconds_since_heartbeat(machine, core::TimePoint(core::to_duration(203))), 1);
 }
 
 // An agent keeps its tasks for a lease after the last answer. The window of 16.9 s in which cancellations may
@@ -69,12 +68,12 @@
   changed_settings.members = {{"perch-1", "a", {}}, {"perch-2", "a", {}}};
   ControllerState state(changed_settings, {});
   const auto& c = GetParam();
-  state.synchronized_at = core::TimePoint(core::secs(c.synchronized_s));
+  state.synchronized_at = core::TimePoint(core::to_duration(c.synchronized_s));
   for (std::size_t m = 0; m < 2; ++m)
-    state.cancellations_confirmed_at[m] = core::TimePoint(core::secs(c.confirmed_s[m]));
-  EXPECT_EQ(state.can_renew_leases(core::TimePoint(core::secs(c.now_s))), c.may_renew);
+    state.cancellations_confirmed_at[m] = core::TimePoint(core::to_duration(c.confirmed_s[m]));
+  EXPECT_EQ(state.can_renew_leases(core::TimePoint(core::to_duration(c.now_s))), c.may_renew);
   state.settings.controller_count = 4;  // one controller is not named: only the store has its cancellations
-  EXPECT_EQ(state.can_renew_leases(core::TimePoint(core::secs(c.now_s))),
+  EXPECT_EQ(state.can_renew_leases(core::TimePoint(core::to_duration(c.now_s))),
             c.may_renew && c.now_s < c.synchronized_s + 16.9);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -110,7 +109,7 @@
 TEST_P(Schedulable, OnlyWhileItsAgentObeysAndIsReachable) {
   ControllerState state(settings(), {});
   state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
-  const core::TimePoint now(core::secs(100));
+  const core::TimePoint now(core::to_duration(100));
   auto& machine = state.fleet.find_or_add(state.names, "host-1");
   machine.partition = core::PartitionId{0};
   machine.has_heartbeat = true;
@@ -124,9 +123,9 @@
     testing::Values(
         SchedulableCase{"obeys", [](auto&) {}, true},
         SchedulableCase{"knows_an_older_token", [](auto& machine) { machine.fencing_token = 39; }, false},
-        SchedulableCase{"unreachable",
-                        [](auto& machine) { machine.mark_unreachable(core::TimePoint(core::secs(99))); },
-                        false},
+        SchedulableCase{
+            "unreachable",
+            [](auto& machine) { machine.mark_unreachable(core::TimePoint(core::to_duration(99))); }, false},
         SchedulableCase{"deleted", [](auto& machine) { machine.deleted = true; }, false},
         SchedulableCase{"silent", [](auto& machine) { machine.last_heartbeat = {}; }, false},
         SchedulableCase{"termination_notice", [](auto& machine) { machine.termination_notice_s = 10; },
@@ -136,13 +135,13 @@
 TEST(ControllerState, NewLeaderUsesMachinesUntilTheirFirstHeartbeatIsOverdue) {
   ControllerState state(settings(), {});
   state.cache.apply({"parts/a.0", boost::json::parse(R"({"owner":"perch-0","inc":7})"), 40});
-  state.leading_since[0] = core::TimePoint(core::secs(100));
+  state.leading_since[0] = core::TimePoint(core::to_duration(100));
   auto& machine = state.fleet.find_or_add(state.names, "host-1");
   machine.partition = core::PartitionId{0};
   machine.has_heartbeat = true;
   machine.fencing_token = 40;
-  EXPECT_TRUE(state.is_schedulable(machine, core::TimePoint(core::secs(108))));
-  EXPECT_FALSE(state.is_schedulable(machine, core::TimePoint(core::secs(109))))
+  EXPECT_TRUE(state.is_schedulable(machine, core::TimePoint(core::to_duration(108))));
+  EXPECT_FALSE(state.is_schedulable(machine, core::TimePoint(core::to_duration(109))))
       << "its agent has sent no heartbeat except answers";
 }
 
--- a/tests/coordination/peer_table_test.cpp
+++ b/tests/coordination/peer_table_test.cpp
@@ -13,9 +13,9 @@
 
 using std::chrono::milliseconds;
 
-core::TimePoint at(double seconds) { return core::TimePoint(core::secs(seconds)); }
+core::TimePoint at(double seconds) { return core::TimePoint(core::to_duration(seconds)); }
 
-// Answers every frame with the same one, and keeps the last that it was sent.
+// Answers every frame with `answer`, and stores the last frame sent.
 struct FixedLink : peer::Link {
   asio::awaitable<std::optional<std::string>> call(std::string frame, milliseconds) override {
     sent = std::move(frame);
@@ -26,8 +26,8 @@
 
 class PeerTableTest : public testing::Test {
  protected:
-  PeerTableTest() { core::Steady::simulate(at(1000)); }
-  ~PeerTableTest() override { core::Steady::simulate(std::nullopt); }
+  PeerTableTest() { core::SteadyClock::simulate(at(1000)); }
+  ~PeerTableTest() override { core::SteadyClock::simulate(std::nullopt); }
 
   static std::vector<std::unique_ptr<peer::Link>> make_links(std::vector<FixedLink*>& fixed) {
     std::vector<std::unique_ptr<peer::Link>> links;
@@ -56,9 +56,9 @@
   PeerTable peers{make_links(links)};
 };
 
-TEST_F(PeerTableTest, RelaysToThePeerWithAFreshView) {
-  peers.heard(0, at(1000), at(997.9));
-  peers.heard(1, at(1000), at(998.1));
+TEST_F(PeerTableTest, RelaysThroughPeerWithFreshView) {
+  peers.record_answer(0, at(1000), at(997.9));
+  peers.record_answer(1, at(1000), at(998.1));
   links[1]->answer = peer::encode(peer::Reply{200, "done"});
   const auto response = relay();
   EXPECT_EQ(response.status, 200);
@@ -68,41 +68,41 @@
   EXPECT_EQ(*links[1]->sent, peer::encode(peer::StoreRequest{true, "/commit", "{}"}));
 }
 
-// Certainly not carried out, which 503 says and no answer would leave open.
-TEST_F(PeerTableTest, AnswersUnavailableWithoutSendingWhenNobodyIsInTouch) {
-  peers.heard(0, at(1000), at(997.9));
+// 503 says that the request was certainly not executed; status 0 would leave that open.
+TEST_F(PeerTableTest, AnswersUnavailableWithoutSendingIfNoPeerHasFreshView) {
+  peers.record_answer(0, at(1000), at(997.9));
   EXPECT_EQ(relay().status, 503);
   EXPECT_FALSE(links[0]->sent);
   EXPECT_FALSE(links[1]->sent);
 }
 
-TEST_F(PeerTableTest, LostAnswerLeavesOpenWhatHappened) {
-  peers.heard(0, at(1000), at(1000));
+TEST_F(PeerTableTest, LostAnswerHasStatusZero) {
+  peers.record_answer(0, at(1000), at(1000));
   EXPECT_EQ(relay().status, 0);
   EXPECT_TRUE(links[0]->sent);
 }
 
-TEST_F(PeerTableTest, ViewAgesUntilThePeerAnswersAgain) {
-  peers.heard(1, at(1000), at(1000));
-  core::Steady::simulate(at(1001.9));
-  EXPECT_EQ(peers.in_touch_with_store(), 1u);
-  core::Steady::simulate(at(1002.1));
-  EXPECT_EQ(peers.in_touch_with_store(), std::nullopt);
+TEST_F(PeerTableTest, ViewAgesUntilPeerAnswersAgain) {
+  peers.record_answer(1, at(1000), at(1000));
+  core::SteadyClock::simulate(at(1001.9));
+  EXPECT_EQ(peers.find_peer_with_fresh_state(), 1u);
+  core::SteadyClock::simulate(at(1002.1));
+  EXPECT_EQ(peers.find_peer_with_fresh_state(), std::nullopt);
 }
 
-// Answers may arrive in another order than they were asked for.
-TEST_F(PeerTableTest, OlderViewDoesNotReplaceANewerOne) {
-  peers.heard(0, at(1000), at(999.5));
-  peers.heard(0, at(1000), at(990));
-  EXPECT_EQ(peers.in_touch_with_store(), 0u);
+// Answers may arrive in a different order than their requests were sent.
+TEST_F(PeerTableTest, OlderViewDoesNotReplaceNewerOne) {
+  peers.record_answer(0, at(1000), at(999.5));
+  peers.record_answer(0, at(1000), at(990));
+  EXPECT_EQ(peers.find_peer_with_fresh_state(), 0u);
 }
 
-TEST_F(PeerTableTest, HearsOfPeersThatAreOutOfTouchWithTheStore) {
-  EXPECT_FALSE(peers.any_heard_within(3, at(1000)));
-  peers.heard(1, at(1000), at(900));
-  EXPECT_TRUE(peers.any_heard_within(3, at(1002.9)));
-  EXPECT_FALSE(peers.any_heard_within(3, at(1003.1)));
-  EXPECT_EQ(peers.in_touch_with_store(), std::nullopt);
+TEST_F(PeerTableTest, PeerWithStaleViewCountsAsAnswering) {
+  EXPECT_FALSE(peers.any_answered_within(3, at(1000)));
+  peers.record_answer(1, at(1000), at(900));
+  EXPECT_TRUE(peers.any_answered_within(3, at(1002.9)));
+  EXPECT_FALSE(peers.any_answered_within(3, at(1003.1)));
+  EXPECT_EQ(peers.find_peer_with_fresh_state(), std::nullopt);
 }
 
 }  // namespace
--- a/tests/core/in_flight_test.cpp
+++ b/tests/core/in_flight_test.cpp
@@ -7,11 +7,11 @@
 namespace finchrun::core {
 namespace {
 
-TEST(InFlightCounter, CountsPlacesUntilTheyAreDestroyed) {
+TEST(InFlightCounter, CountsSlotsUntilTheyAreDestroyed) {
   InFlightCounter counter;
   {
-    const auto first = counter.take();
-    auto second = counter.take();
+    const auto first = counter.acquire();
+    auto second = counter.acquire();
     EXPECT_EQ(counter.count(), 2u);
     const auto moved = std::move(second);
     EXPECT_EQ(counter.count(), 2u);
@@ -19,10 +19,10 @@
   EXPECT_EQ(counter.count(), 0u);
 }
 
-// As coroutines do that are destroyed with the event loop, after the component that started them.
-TEST(InFlightCounter, PlaceMayOutliveTheCounter) {
+// Coroutines that are destroyed with the event loop may outlive the component that started them.
+TEST(InFlightCounter, SlotMayOutliveCounter) {
   std::optional<InFlightCounter> counter(std::in_place);
-  const auto place = counter->take();
+  const auto slot = counter->acquire();
   counter.reset();
 }
 
--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -16,8 +16,8 @@
 using wire::Command;
 
 constexpr std::uint64_t kToken = 40;  // this controller's fencing token for partition a.0
-const core::TimePoint kNow{core::secs(1000)};
-core::TimePoint ago(double seconds) { return kNow - core::secs(seconds); }
+const core::TimePoint kNow{core::to_duration(1000)};
+core::TimePoint ago(double seconds) { return kNow - core::to_duration(seconds); }
 
 // The controller under test leads partition a.0. The agent of machine host-100000 obeys it in incarnation 1,
 // and task 0 of req-1 is assigned to the machine.
@@ -207,7 +207,7 @@
   EXPECT_EQ(leader.machine->sequence, 5u);
 }
 
-core::Steady::duration without_jitter(double seconds) { return core::secs(seconds); }
+core::SteadyClock::duration without_jitter(double seconds) { return core::to_duration(seconds); }
 
 TEST(Stops, AreRepeatedWithExponentialBackoff) {
   Leader leader;
@@ -215,7 +215,8 @@
   leader.cancel();
   std::vector<double> sent_at;
   for (double s = 0; s < 32; s += 0.5)
-    if (!take_due_stops(leader.state, 0, kNow + core::secs(s), without_jitter).empty()) sent_at.push_back(s);
+    if (!take_due_stops(leader.state, 0, kNow + core::to_duration(s), without_jitter).empty())
+      sent_at.push_back(s);
   EXPECT_EQ(sent_at, (std::vector<double>{0, 1, 3, 7, 15, 23, 31}));
 }
 
@@ -251,11 +252,11 @@
 TEST(InFlight, CountsUntilTheTokenIsDestroyed) {
   auto counter = std::make_unique<core::InFlightCounter>();
   {
-    const auto first = counter->take();
+    const auto first = counter->acquire();
     EXPECT_EQ(counter->count(), 1u);
   }
   EXPECT_EQ(counter->count(), 0u);
-  const auto outliving_token = counter->take();
+  const auto outliving_token = counter->acquire();
   counter.reset();
 }
 
--- a/tests/scheduling/cluster_load_test.cpp
+++ b/tests/scheduling/cluster_load_test.cpp
@@ -1,10 +1,9 @@
-#include "scheduling/cluster_load.hpp"
-
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
+#include "scheduling/cluster_load.hpp"
 
 namespace finchrun::scheduling {
 namespace {
@@ -13,7 +12,7 @@
 using assignments::SinglePartition;
 
 constexpr core::PartitionId kOwnPartition{0}, kOtherPartition{1};  // a.0 and b.0
-const core::TimePoint kNow(core::secs(100));
+const core::TimePoint kNow(core::to_duration(100));
 
 config::Settings two_zones() {
   auto settings = single_partition_settings();
@@ -70,9 +69,11 @@
   machine.has_heartbeat = true;
   machine.fencing_token = deployment.state.fencing_token(kOwnPartition);
   machine.last_heartbeat = kNow;
-  EXPECT_DOUBLE_EQ(partition_capacities(deployment.state, spec_of(2), kNow + core::secs(0.4))[0].free, 0)
+  EXPECT_DOUBLE_EQ(partition_capacities(deployment.state, spec_of(2), kNow + core::to_duration(0.4))[0].free,
+                   0)
       << "the load is cached for half a second";
-  EXPECT_DOUBLE_EQ(partition_capacities(deployment.state, spec_of(2), kNow + core::secs(0.5))[0].free, 4);
+  EXPECT_DOUBLE_EQ(partition_capacities(deployment.state, spec_of(2), kNow + core::to_duration(0.5))[0].free,
+                   4);
 }
 
 TEST(ClusterLoad, CountsBacklogInTasksOfTheNewJob) {
--- a/tests/scheduling/quota_sharing_test.cpp
+++ b/tests/scheduling/quota_sharing_test.cpp
@@ -1,8 +1,7 @@
-#include "scheduling/quota_sharing.hpp"
-
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
+#include "scheduling/quota_sharing.hpp"
 
 namespace finchrun::scheduling {
 namespace {
@@ -12,7 +11,7 @@
 
 constexpr core::PartitionId kOwnPartition{0};  // a.0, led here; b.0 has another leader
 constexpr core::TeamId kTeam{0};
-const core::TimePoint kNow(core::secs(100));
+const core::TimePoint kNow(core::to_duration(100));
 
 core::Resources gpus(double n) { return {0, n, 0}; }
 
@@ -80,7 +79,7 @@
   deployment.state.cache.apply({"teams/red", to_json(c.before), 51});
   deployment.state.cache.apply({"fence/a.0", boost::json::value(1), 52});
   deployment.state.fence_due[kOwnPartition.index] = c.fence_due ? 1 : 0;
-  const core::TimePoint withdrawn_at(core::secs(c.withdrawn_s));
+  const core::TimePoint withdrawn_at(core::to_duration(c.withdrawn_s));
   const std::vector<QuotaShortage> shortages{
       {kOwnPartition, kTeam, gpus(c.used), gpus(c.shortfall), gpus(c.team_used)},
       {core::PartitionId{1}, kTeam, gpus(0), gpus(700), gpus(c.team_used)}};  // not led here
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -1,10 +1,9 @@
-#include "scheduling/rebalancer.hpp"
-
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
+#include "scheduling/rebalancer.hpp"
 
 namespace finchrun::scheduling {
 namespace {
@@ -14,7 +13,7 @@
 using jobs::TaskRange;
 
 constexpr core::PartitionId kOwnPartition{0}, kOtherPartition{1};  // a.0 and b.0
-const core::TimePoint kNow(core::secs(100));
+const core::TimePoint kNow(core::to_duration(100));
 
 struct MoveCase {
   const char* name;
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -1,8 +1,7 @@
-#include "scheduling/round_view.hpp"
-
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
+#include "scheduling/round_view.hpp"
 
 namespace finchrun::scheduling {
 namespace {
@@ -11,7 +10,7 @@
 using assignments::PlannedTransaction;
 using assignments::SinglePartition;
 
-const core::TimePoint kNow(core::secs(1000));
+const core::TimePoint kNow(core::to_duration(1000));
 
 // Zones a and b have one partition each; a.0 is led here. A job has six tasks, three in each partition.
 struct TwoZones : testing::Test {
@@ -87,7 +86,7 @@
   EXPECT_DOUBLE_EQ(limit_in_partition(0, 0), 0);
   EXPECT_DOUBLE_EQ(limit_in_partition(8, 2), 2);
   EXPECT_GT(limit_in_partition(8, 0), 0);
-  EXPECT_LT(limit_in_partition(8, 0), core::Resources::kSlack);
+  EXPECT_LT(limit_in_partition(8, 0), core::Resources::kRoundingTolerance);
 }
 
 TEST_F(TwoZones, NodeShowsCordonReservationAndFetches) {
@@ -96,17 +95,17 @@
   auto& machine = state.fleet.find_or_add(state.names, "host-1");
   const auto id = job(jobs::Shape::service, false, false);
   place(id, own, 0);
-  machine.cordoned_until = kNow + core::secs(1);
+  machine.cordoned_until = kNow + core::to_duration(1);
   machine.reserved_for = core::JobId{9};
-  machine.reservation_ready_at = kNow + core::secs(7);
-  machine.reservation_expires_at = kNow + core::secs(20);
+  machine.reservation_ready_at = kNow + core::to_duration(7);
+  machine.reservation_expires_at = kNow + core::to_duration(20);
   const auto before = make_node(state, machine, type, kNow);
   EXPECT_EQ(before.fetches_in_progress, 1u);
   EXPECT_EQ(before.replicas, (std::vector<core::JobId>{id}));
   EXPECT_EQ(before.reserved_for, core::JobId{9});
   EXPECT_DOUBLE_EQ(before.reservation_starts_in_s, 7);
   EXPECT_GT(before.start_delay_s, 0);
-  const auto later = make_node(state, machine, type, kNow + core::secs(20));
+  const auto later = make_node(state, machine, type, kNow + core::to_duration(20));
   EXPECT_FALSE(later.reserved_for.valid());
   EXPECT_DOUBLE_EQ(later.start_delay_s, 0);
 }
@@ -127,7 +126,7 @@
   if (c.machine_types_known) state.fleet.machine_types.emplace_back();
   if (!c.leads) state.incarnation = 8;
   state.fence_due[0] = c.fence_due;
-  state.synchronized_at = kNow - core::secs(c.cache_age_s);
+  state.synchronized_at = kNow - core::to_duration(c.cache_age_s);
   EXPECT_EQ(build_round_view(state, 2, kNow).has_value(), c.decides);
 }
 INSTANTIATE_TEST_SUITE_P(Table, RoundDecides,
--- a/tests/sim/agents.cpp
+++ b/tests/sim/agents.cpp
@@ -80,9 +80,9 @@
   }
   task.state = "running";
   if (job.is_service) job.run_s = kServiceRunS;
-  task.next_transition =
-      now_ +
-      core::secs(job.completed.contains(task.number) ? 0 : job.run_s + job.run_increment_s * task.number);
+  task.next_transition = now_ + core::to_duration(job.completed.contains(task.number)
+                                                      ? 0
+                                                      : job.run_s + job.run_increment_s * task.number);
   agent.changed = true;
 }
 
@@ -103,7 +103,7 @@
     const auto it = agents.find(name);
     if (it == agents.end() || it->second.dead || it->second.suspended) return;
     it->second.in_flight = false;
-    it->second.next_heartbeat = now_ + core::secs(settings_.heartbeat_interval_s);
+    it->second.next_heartbeat = now_ + core::to_duration(settings_.heartbeat_interval_s);
     handle_heartbeat_response(it->second, sent, incarnation, response);
   };
   if (blocked) {
@@ -137,7 +137,7 @@
     agent.fencing_token = fencing_token;
     agent.last_answered = sent;
     agent.execute(body.at("orders").as_array(), jobs, now_);
-    if (agent.changed) agent.next_heartbeat = now_ + core::secs(kChangeReportDelayS);
+    if (agent.changed) agent.next_heartbeat = now_ + core::to_duration(kChangeReportDelayS);
     return;
   }
   if (status == http::status::kMisdirectedRequest) {
@@ -146,7 +146,7 @@
       const auto controller = static_cast<std::size_t>(leader->as_string().back() - '0');
       if (controller != agent.controller) {
         agent.controller = controller;
-        agent.next_heartbeat = now_ + core::secs(kRedirectDelayS);
+        agent.next_heartbeat = now_ + core::to_duration(kRedirectDelayS);
         return;
       }
     }
--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -1,8 +1,7 @@
-#include "sim/cluster.hpp"
-
 #include <cstdio>
 #include <cstdlib>
 
+#include "sim/cluster.hpp"
 #include "sim/network.hpp"
 
 namespace finchrun::sim {
@@ -20,10 +19,10 @@
 
 Cluster::Cluster(std::uint32_t seed, int controllers, int machines_per_zone, AgentTiming timing)
     : random(seed),
-      now_(core::secs(1000)),
+      now_(core::to_duration(1000)),
       processes_(static_cast<std::size_t>(controllers)),
       boots_(processes_.size(), 0) {
-  core::Steady::simulate(now_);
+  core::SteadyClock::simulate(now_);
   settings_.zones = {"a", "b"};
   settings_.controller_count = controllers;
   settings_.cloud_endpoint = {kCloudHost, 1};
@@ -50,7 +49,7 @@
                 static_cast<unsigned long long>(traffic_.messages()));
   for (auto& process : processes_)
     if (process) killed_processes().push_back(std::shared_ptr<ControllerProcess>(std::move(process)));
-  core::Steady::simulate(std::nullopt);
+  core::SteadyClock::simulate(std::nullopt);
 }
 
 void Cluster::boot(std::size_t controller) {
@@ -75,18 +74,18 @@
   return probability > 0 && std::uniform_real_distribution<double>(0, 1)(random) < probability;
 }
 void Cluster::post(double delay_s, std::function<void()> action) {
-  events_.emplace(now_ + core::secs(delay_s), std::move(action));
+  events_.emplace(now_ + core::to_duration(delay_s), std::move(action));
 }
 void Cluster::after(double seconds, std::function<void()> action) { post(seconds, std::move(action)); }
 
 void Cluster::run(double seconds) {
-  const auto end = now_ + core::secs(seconds);
+  const auto end = now_ + core::to_duration(seconds);
   while (now_ < end) step();
 }
 
 void Cluster::step() {
   now_ += kTimeStep;
-  core::Steady::simulate(now_);
+  core::SteadyClock::simulate(now_);
   while (!events_.empty() && events_.begin()->first <= now_) {
     auto action = std::move(events_.begin()->second);
     events_.erase(events_.begin());
--- a/tests/sim/rules.cpp
+++ b/tests/sim/rules.cpp
@@ -44,7 +44,7 @@
   constexpr double kGraceS = 5, kTimeStepS = 0.01;
   for (const auto& [id, job] : jobs) {
     if (!job.is_service || !job.accepted || job.cancellation_requested ||
-        core::since(job.accepted_at, now_) < kGraceS)
+        core::seconds_between(job.accepted_at, now_) < kGraceS)
       continue;
     std::size_t running = 0;
     for_each_task([&](const Agent& agent, const Task& task) {
@@ -62,13 +62,14 @@
     if (agent.dead || !task.is_on_machine()) return;
     const auto& job = jobs.at(task.job);
     used[job.team] += job.gpus;
-    if (job.reported_cancelled_at && core::since(*job.reported_cancelled_at, now_) > settings_.cancel_s)
+    if (job.reported_cancelled_at &&
+        core::seconds_between(*job.reported_cancelled_at, now_) > settings_.cancel_s)
       violations.push_back("ran_cancelled " + task.job);
   });
   constexpr double kMaxSilenceS = 75;
   for (const auto& [id, job] : jobs)
     if (job.accepted && !job.cancellation_requested &&
-        core::since(std::max(job.last_response_at, faults_over_at), now_) > kMaxSilenceS)
+        core::seconds_between(std::max(job.last_response_at, faults_over_at), now_) > kMaxSilenceS)
       violations.push_back("forgotten " + id + ": no request about it is answered");
   for (const auto& team : settings_.teams)
     if (used[team.name] > team.gpus_max + kRounding) violations.push_back("quota " + team.name);
@@ -85,7 +86,8 @@
   for (const auto& [id, job] : jobs) {
     if (!could_start(id, job, capacity)) {
       startable_since_.erase(id);
-    } else if (core::since(startable_since_.try_emplace(id, now_).first->second, now_) > kMaxWaitS) {
+    } else if (core::seconds_between(startable_since_.try_emplace(id, now_).first->second, now_) >
+               kMaxWaitS) {
       violations.push_back("left waiting " + id);
     }
   }
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -1,9 +1,8 @@
-#include "sim/services.hpp"
-
 #include <algorithm>
 #include <string_view>
 
 #include "http/status.hpp"
+#include "sim/services.hpp"
 
 namespace finchrun::sim {
 namespace {
@@ -45,7 +44,7 @@
 
 void StoreService::recover(TimePoint now) {
   outage = false;
-  for (auto& [_, host] : store_leases_) host.ends = now + core::secs(host.ttl_s);
+  for (auto& [_, host] : store_leases_) host.ends = now + core::to_duration(host.ttl_s);
 }
 
 std::size_t StoreService::change_count(const std::string& prefix) const {
@@ -134,14 +133,14 @@
 }
 
 ClientResponse StoreService::grant_lease(double ttl_s, TimePoint now) {
-  store_leases_[next_store_lease_] = {now + core::secs(ttl_s), ttl_s};
+  store_leases_[next_store_lease_] = {now + core::to_duration(ttl_s), ttl_s};
   return json_response(http::status::kOk, {{"hold", next_store_lease_++}});
 }
 
 ClientResponse StoreService::renew_lease(std::uint64_t store_lease, TimePoint now) {
   const auto it = store_leases_.find(store_lease);
   if (it == store_leases_.end()) return {http::status::kNotFound, "{}"};
-  it->second.ends = now + core::secs(it->second.ttl_s);
+  it->second.ends = now + core::to_duration(it->second.ttl_s);
   return {http::status::kOk, "{}"};
 }
 
@@ -191,7 +190,7 @@
       if (it != tasks.end() && it->second.attempt == attempt) continue;
       if (it != tasks.end() && it->second.state != "ended") continue;  // in_use
       Task task{key.first, key.second, attempt, "pulling", "", false, {}, 0};
-      task.next_transition = now + core::secs(jobs.at(key.first).image_pull_s);
+      task.next_transition = now + core::to_duration(jobs.at(key.first).image_pull_s);
       tasks[key] = task;
       changed = true;
     } else if (it == tasks.end() || it->second.attempt != attempt) {
@@ -202,7 +201,7 @@
       const double save = jobs.at(key.first).checkpoint_write_s;
       if (it->second.state == "running" && grace >= save) {
         it->second.state = "flushing";
-        it->second.next_transition = now + core::secs(save);
+        it->second.next_transition = now + core::to_duration(save);
       } else if (it->second.state != "flushing" || grace <= 0) {
         it->second.state = "ended";
         it->second.cause = "halted";
@@ -228,7 +227,7 @@
 }
 
 void Agent::expire_lease(double lease_s, TimePoint now) {
-  if (core::since(last_answered, now) <= lease_s) return;
+  if (core::seconds_between(last_answered, now) <= lease_s) return;
   tasks.clear();
   ++agent_incarnation;
   last_answered = now;
@@ -239,7 +238,7 @@
   char name[32];
   std::snprintf(name, sizeof name, "host-%06d", next_);
   const std::string endpoint = "10.1.0." + std::to_string(next_ + 1) + ":9000";
-  hosts[name] = {name, endpoint, "g4", zone, false, now, now + core::secs(boot_s), false};
+  hosts[name] = {name, endpoint, "g4", zone, false, now, now + core::to_duration(boot_s), false};
   ++next_;
   return name;
 }
@@ -254,7 +253,7 @@
                                   {"hall", host.zone},
                                   {"loaners", host.spot},
                                   {"status", status},
-                                  {"heldS", core::since(host.rented, now)}});
+                                  {"heldS", core::seconds_between(host.rented, now)}});
   }
   return {{"perches", result}, {"hasNext", false}};
 }
@@ -296,8 +295,8 @@
   }
   // The list lags by three seconds.
   recent_lists_.emplace_back(now, list(now));
-  while (recent_lists_.size() > 1 &&
-         (recent_lists_[1].first + core::secs(3) <= now || recent_lists_[0].first + core::secs(6) < now))
+  while (recent_lists_.size() > 1 && (recent_lists_[1].first + core::to_duration(3) <= now ||
+                                      recent_lists_[0].first + core::to_duration(6) < now))
     recent_lists_.pop_front();
   return json_response(http::status::kOk, recent_lists_.front().second);
 }
