--- a/src/agent/heartbeat_handler.cpp
+++ b/src/agent/heartbeat_handler.cpp
@@ -1,9 +1,9 @@
+#include "agent/heartbeat_handler.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "agent/heartbeat_handler.hpp"
-
 namespace finchrun::agent {
 namespace {
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -45,7 +45,8 @@
     boost::asio::io_context io{1};
     http::TcpNetwork network(io.get_executor());
     std::vector<std::unique_ptr<peer::Link>> links;
-    auto deadlines = std::make_shared<core::SocketDeadlines>(io.get_executor(), std::chrono::milliseconds(200));
+    auto deadlines =
+        std::make_shared<core::SocketDeadlines>(io.get_executor(), std::chrono::milliseconds(200));
     links.reserve(settings.members.size());
     for (const auto& member : settings.members)
       links.push_back(std::make_unique<peer::TcpLink>(deadlines, io.get_executor(), member.peer_endpoint));
--- a/src/assignments/assignment_writer.cpp
+++ b/src/assignments/assignment_writer.cpp
@@ -1,7 +1,7 @@
-#include <algorithm>
-
 #include "assignments/assignment_writer.hpp"
 
+#include <algorithm>
+
 namespace finchrun::assignments {
 
 namespace {
--- a/src/assignments/commit_refusal.cpp
+++ b/src/assignments/commit_refusal.cpp
@@ -12,7 +12,8 @@
 std::string refusal_line(std::string_view event, std::string_view partition,
                          const state::CommitResult& result) {
   return fmt::format("{} partition={} reason={} failed_key={}", event, partition,
-                     state::name_of(result.outcome), result.failed_keys.empty() ? "-" : result.failed_keys.front());
+                     state::name_of(result.outcome),
+                     result.failed_keys.empty() ? "-" : result.failed_keys.front());
 }
 
 void log_refusal(std::string_view event, std::string_view partition, const state::CommitResult& result) {
--- a/src/assignments/exit_plan.cpp
+++ b/src/assignments/exit_plan.cpp
@@ -1,10 +1,10 @@
+#include "assignments/exit_plan.hpp"
+
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <set>
 
-#include "assignments/exit_plan.hpp"
-
 namespace finchrun::assignments {
 
 namespace {
--- a/src/assignments/exit_recorder.cpp
+++ b/src/assignments/exit_recorder.cpp
@@ -1,8 +1,9 @@
+#include "assignments/exit_recorder.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include "assignments/commit_refusal.hpp"
 #include "assignments/exit_plan.hpp"
-#include "assignments/exit_recorder.hpp"
 
 namespace finchrun::assignments {
 
--- a/src/assignments/placement_plan.cpp
+++ b/src/assignments/placement_plan.cpp
@@ -1,9 +1,9 @@
+#include "assignments/placement_plan.hpp"
+
 #include <fmt/format.h>
 
 #include <optional>
 
-#include "assignments/placement_plan.hpp"
-
 namespace finchrun::assignments {
 
 namespace {
--- a/src/assignments/placement_recorder.cpp
+++ b/src/assignments/placement_recorder.cpp
@@ -1,7 +1,8 @@
+#include "assignments/placement_recorder.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include "assignments/commit_refusal.hpp"
-#include "assignments/placement_recorder.hpp"
 
 namespace finchrun::assignments {
 
--- a/src/assignments/write_fences.cpp
+++ b/src/assignments/write_fences.cpp
@@ -32,7 +32,8 @@
     const auto& name = state.names.partitions.name(partition);
     FenceMove move{partition, {}};
     move.transaction.compares.push_back({state::keys::leadership(name), state.fencing_token(partition)});
-    move.transaction.writes.push_back({state::keys::fence(name), state::encode_fence(state.cache.newest_revision())});
+    move.transaction.writes.push_back(
+        {state::keys::fence(name), state::encode_fence(state.cache.newest_revision())});
     moves.push_back(std::move(move));
   }
   return moves;
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -1,9 +1,10 @@
+#include "autoscaling/autoscaler.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <variant>
 
-#include "autoscaling/autoscaler.hpp"
 #include "autoscaling/scale_out_plan.hpp"
 
 namespace finchrun::autoscaling {
--- a/src/autoscaling/scale_in_plan.cpp
+++ b/src/autoscaling/scale_in_plan.cpp
@@ -1,8 +1,8 @@
+#include "autoscaling/scale_in_plan.hpp"
+
 #include <algorithm>
 #include <optional>
 
-#include "autoscaling/scale_in_plan.hpp"
-
 namespace finchrun::autoscaling {
 namespace {
 
--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -1,10 +1,10 @@
+#include "autoscaling/scale_out_plan.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <optional>
 
-#include "autoscaling/scale_out_plan.hpp"
-
 namespace finchrun::autoscaling {
 namespace {
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,3 +1,5 @@
+#include "cloud/cloud_client.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <boost/asio/redirect_error.hpp>
@@ -6,8 +8,6 @@
 #include <boost/json.hpp>
 #include <optional>
 
-#include "cloud/cloud_client.hpp"
-
 namespace finchrun::cloud {
 namespace {
 
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -1,6 +1,7 @@
+#include "controller/controller_state.hpp"
+
 #include <algorithm>
 
-#include "controller/controller_state.hpp"
 #include "controller/quota_usage.hpp"
 
 namespace finchrun::controller {
--- a/src/controller/quota_usage.cpp
+++ b/src/controller/quota_usage.cpp
@@ -1,7 +1,7 @@
-#include <algorithm>
-
 #include "controller/quota_usage.hpp"
 
+#include <algorithm>
+
 namespace finchrun::controller {
 
 namespace {
--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership.cpp
@@ -1,9 +1,9 @@
+#include "coordination/leadership.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/leadership.hpp"
-
 namespace finchrun::coordination {
 
 namespace {
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -1,7 +1,7 @@
-#include <spdlog/spdlog.h>
-
 #include "coordination/membership.hpp"
 
+#include <spdlog/spdlog.h>
+
 namespace finchrun::coordination {
 
 namespace {
--- a/src/coordination/peer_service.cpp
+++ b/src/coordination/peer_service.cpp
@@ -1,6 +1,7 @@
+#include "coordination/peer_service.hpp"
+
 #include <spdlog/spdlog.h>
 
-#include "coordination/peer_service.hpp"
 #include "http/status.hpp"
 
 namespace finchrun::coordination {
--- a/src/coordination/peer_table.cpp
+++ b/src/coordination/peer_table.cpp
@@ -1,4 +1,5 @@
 #include "coordination/peer_table.hpp"
+
 #include "http/status.hpp"
 #include "peer/messages.hpp"
 
--- a/src/coordination/state_follower.cpp
+++ b/src/coordination/state_follower.cpp
@@ -1,10 +1,10 @@
+#include "coordination/state_follower.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-#include "coordination/state_follower.hpp"
-
 namespace finchrun::coordination {
 
 namespace {
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -1,8 +1,9 @@
+#include "gateway/admission.hpp"
+
 #include <algorithm>
 #include <set>
 
 #include "assignments/assignment_writer.hpp"
-#include "gateway/admission.hpp"
 #include "sched/distribute.hpp"
 #include "scheduling/cluster_load.hpp"
 
--- a/src/gateway/agent_commands.cpp
+++ b/src/gateway/agent_commands.cpp
@@ -1,7 +1,7 @@
-#include <spdlog/spdlog.h>
-
 #include "gateway/agent_commands.hpp"
 
+#include <spdlog/spdlog.h>
+
 namespace finchrun::gateway {
 
 namespace {
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -1,6 +1,7 @@
+#include "gateway/agent_gateway.hpp"
+
 #include <spdlog/spdlog.h>
 
-#include "gateway/agent_gateway.hpp"
 #include "gateway/heartbeat_routing.hpp"
 #include "gateway/responses.hpp"
 #include "peer/messages.hpp"
--- a/src/gateway/cancelled_task_stopper.cpp
+++ b/src/gateway/cancelled_task_stopper.cpp
@@ -1,6 +1,7 @@
+#include "gateway/cancelled_task_stopper.hpp"
+
 #include <spdlog/spdlog.h>
 
-#include "gateway/cancelled_task_stopper.hpp"
 #include "gateway/due_stops.hpp"
 
 namespace finchrun::gateway {
--- a/src/gateway/direct_commands.cpp
+++ b/src/gateway/direct_commands.cpp
@@ -1,9 +1,10 @@
+#include "gateway/direct_commands.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <tuple>
 
-#include "gateway/direct_commands.hpp"
 #include "gateway/responses.hpp"
 
 namespace finchrun::gateway {
--- a/src/gateway/job_api.cpp
+++ b/src/gateway/job_api.cpp
@@ -1,7 +1,8 @@
+#include "gateway/job_api.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include "gateway/admission.hpp"
-#include "gateway/job_api.hpp"
 #include "gateway/responses.hpp"
 
 namespace finchrun::gateway {
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -1,10 +1,11 @@
+#include "http/client.hpp"
+
 #include <boost/asio/ip/address_v4.hpp>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
 
-#include "http/client.hpp"
 #include "http/exchange.hpp"
 
 namespace finchrun::http {
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -1,3 +1,5 @@
+#include "http/server.hpp"
+
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/asio/ip/address_v4.hpp>
@@ -12,7 +14,6 @@
 
 #include "core/deadlines.hpp"
 #include "http/exchange.hpp"
-#include "http/server.hpp"
 #include "http/status.hpp"
 
 namespace finchrun::http {
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -1,3 +1,5 @@
+#include "peer/link.hpp"
+
 #include <array>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -10,7 +12,6 @@
 
 #include "core/in_flight.hpp"
 #include "http/exchange.hpp"
-#include "peer/link.hpp"
 #include "peer/messages.hpp"
 
 namespace finchrun::peer {
--- a/src/sched/place.cpp
+++ b/src/sched/place.cpp
@@ -1,9 +1,10 @@
+#include "sched/place.hpp"
+
 #include <algorithm>
 #include <functional>
 #include <numeric>
 
 #include "jobs/job.hpp"
-#include "sched/place.hpp"
 
 namespace finchrun::sched {
 namespace {
--- a/src/sched/preempt.cpp
+++ b/src/sched/preempt.cpp
@@ -1,10 +1,11 @@
+#include "sched/preempt.hpp"
+
 #include <algorithm>
 #include <functional>
 #include <optional>
 #include <unordered_map>
 
 #include "jobs/job.hpp"
-#include "sched/preempt.hpp"
 
 namespace finchrun::sched {
 namespace {
--- a/src/scheduling/cluster_load.cpp
+++ b/src/scheduling/cluster_load.cpp
@@ -1,4 +1,5 @@
 #include "scheduling/cluster_load.hpp"
+
 #include "scheduling/waiting_tasks.hpp"
 
 namespace finchrun::scheduling {
--- a/src/scheduling/partition_writer.cpp
+++ b/src/scheduling/partition_writer.cpp
@@ -1,9 +1,9 @@
+#include "scheduling/partition_writer.hpp"
+
 #include <algorithm>
 #include <set>
 #include <string>
 
-#include "scheduling/partition_writer.hpp"
-
 namespace finchrun::scheduling {
 
 namespace {
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,10 +1,10 @@
+#include "scheduling/preemption.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <map>
 
-#include "scheduling/preemption.hpp"
-
 namespace finchrun::scheduling {
 
 namespace {
--- a/src/scheduling/quota_sharing.cpp
+++ b/src/scheduling/quota_sharing.cpp
@@ -1,9 +1,9 @@
+#include "scheduling/quota_sharing.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <map>
 
-#include "scheduling/quota_sharing.hpp"
-
 namespace finchrun::scheduling {
 
 namespace {
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -1,7 +1,8 @@
+#include "scheduling/rebalancer.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include "scheduling/cluster_load.hpp"
-#include "scheduling/rebalancer.hpp"
 
 namespace finchrun::scheduling {
 
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -1,8 +1,9 @@
+#include "scheduling/round_view.hpp"
+
 #include <algorithm>
 
 #include "controller/quota_usage.hpp"
 #include "scheduling/preemption.hpp"
-#include "scheduling/round_view.hpp"
 
 namespace finchrun::scheduling {
 
--- a/src/scheduling/scheduling_round.cpp
+++ b/src/scheduling/scheduling_round.cpp
@@ -1,10 +1,10 @@
+#include "scheduling/scheduling_round.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <iterator>
 #include <map>
 
-#include "scheduling/scheduling_round.hpp"
-
 namespace finchrun::scheduling {
 
 using assignments::PlannedPlacement;
--- a/src/scheduling/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -1,7 +1,7 @@
-#include <algorithm>
-
 #include "scheduling/waiting_tasks.hpp"
 
+#include <algorithm>
+
 namespace finchrun::scheduling {
 
 WaitingTasks::WaitingTasks(const state::StateCache& cache, core::JobId id) : job_(cache.job(id)) {
--- a/src/state/assignment_table.cpp
+++ b/src/state/assignment_table.cpp
@@ -1,7 +1,7 @@
-#include <algorithm>
-
 #include "state/assignment_table.hpp"
 
+#include <algorithm>
+
 namespace finchrun::state {
 
 std::vector<core::JobId> AssignmentTable::apply_shard(core::PartitionId partition, const std::string& name,
--- a/src/state/key_value_store.cpp
+++ b/src/state/key_value_store.cpp
@@ -1,9 +1,9 @@
+#include "state/key_value_store.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "state/key_value_store.hpp"
-
 namespace finchrun::state {
 namespace {
 
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -1,10 +1,10 @@
+#include "state/state_cache.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "state/state_cache.hpp"
-
 namespace finchrun::state {
 
 void StateCache::apply(const KeyUpdate& update) {
--- a/src/state/store_protocol.cpp
+++ b/src/state/store_protocol.cpp
@@ -1,9 +1,9 @@
+#include "state/store_protocol.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <cctype>
 
-#include "state/store_protocol.hpp"
-
 namespace finchrun::state {
 namespace {
 
--- a/tests/agent/heartbeat_handler_test.cpp
+++ b/tests/agent/heartbeat_handler_test.cpp
@@ -1,9 +1,9 @@
+#include "agent/heartbeat_handler.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
 
-#include "agent/heartbeat_handler.hpp"
-
 namespace finchrun::agent {
 namespace {
 
--- a/tests/agent/machine_test.cpp
+++ b/tests/agent/machine_test.cpp
@@ -1,7 +1,8 @@
+#include "agent/machine.hpp"
+
 #include <gtest/gtest.h>
 
 #include "agent/heartbeat_handler.hpp"
-#include "agent/machine.hpp"
 
 namespace finchrun::agent {
 namespace {
--- a/tests/assignments/assignment_writer_test.cpp
+++ b/tests/assignments/assignment_writer_test.cpp
@@ -1,6 +1,7 @@
+#include "assignments/assignment_writer.hpp"
+
 #include <gtest/gtest.h>
 
-#include "assignments/assignment_writer.hpp"
 #include "assignments/exit_plan.hpp"
 #include "assignments/single_partition.hpp"
 #include "scheduling/waiting_tasks.hpp"
--- a/tests/autoscaling/scale_out_plan_test.cpp
+++ b/tests/autoscaling/scale_out_plan_test.cpp
@@ -1,9 +1,10 @@
+#include "autoscaling/scale_out_plan.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
-#include "autoscaling/scale_out_plan.hpp"
 
 namespace finchrun::autoscaling {
 namespace {
--- a/tests/controller/controller_state_test.cpp
+++ b/tests/controller/controller_state_test.cpp
@@ -1,9 +1,10 @@
+#include "controller/controller_state.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
-#include "controller/controller_state.hpp"
 
 namespace finchrun::controller {
 
--- a/tests/controller/runtime_test.cpp
+++ b/tests/controller/runtime_test.cpp
@@ -1,10 +1,10 @@
+#include "controller/runtime.hpp"
+
 #include <gtest/gtest.h>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
-#include "controller/runtime.hpp"
-
 namespace finchrun::controller {
 namespace {
 
--- a/tests/scheduling/cluster_load_test.cpp
+++ b/tests/scheduling/cluster_load_test.cpp
@@ -1,9 +1,10 @@
+#include "scheduling/cluster_load.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
-#include "scheduling/cluster_load.hpp"
 
 namespace finchrun::scheduling {
 namespace {
--- a/tests/scheduling/quota_sharing_test.cpp
+++ b/tests/scheduling/quota_sharing_test.cpp
@@ -1,7 +1,8 @@
+#include "scheduling/quota_sharing.hpp"
+
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
-#include "scheduling/quota_sharing.hpp"
 
 namespace finchrun::scheduling {
 namespace {
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -1,9 +1,10 @@
+#include "scheduling/rebalancer.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "assignments/single_partition.hpp"
-#include "scheduling/rebalancer.hpp"
 
 namespace finchrun::scheduling {
 namespace {
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -1,7 +1,8 @@
+#include "scheduling/round_view.hpp"
+
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
-#include "scheduling/round_view.hpp"
 
 namespace finchrun::scheduling {
 namespace {
--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -1,7 +1,8 @@
+#include "sim/cluster.hpp"
+
 #include <cstdio>
 #include <cstdlib>
 
-#include "sim/cluster.hpp"
 #include "sim/network.hpp"
 
 namespace finchrun::sim {
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -1,8 +1,9 @@
+#include "sim/services.hpp"
+
 #include <algorithm>
 #include <string_view>
 
 #include "http/status.hpp"
-#include "sim/services.hpp"
 
 namespace finchrun::sim {
 namespace {
--- a/tests/state/key_value_store_test.cpp
+++ b/tests/state/key_value_store_test.cpp
@@ -1,9 +1,10 @@
+#include "state/key_value_store.hpp"
+
 #include <gtest/gtest.h>
 
 #include <deque>
 
 #include "sim/scripted_network.hpp"
-#include "state/key_value_store.hpp"
 
 namespace finchrun::state {
 namespace {
--- a/tests/state/membership_test.cpp
+++ b/tests/state/membership_test.cpp
@@ -1,7 +1,8 @@
+#include "coordination/membership.hpp"
+
 #include <gtest/gtest.h>
 
 #include "assignments/single_partition.hpp"
-#include "coordination/membership.hpp"
 
 namespace finchrun::coordination {
 namespace {
