--- a/tests/wire/messages_test.cpp
+++ b/tests/wire/messages_test.cpp
@@ -37,9 +37,9 @@
   const char* value;  // JSON; nullptr: the field is left out
 };
 
-class InvalidSubmission : public testing::TestWithParam<InvalidFieldCase> {};
+class MalformedSubmission : public testing::TestWithParam<InvalidFieldCase> {};
 
-TEST_P(InvalidSubmission, IsMalformed) {
+TEST_P(MalformedSubmission, IsMalformed) {
   auto message = valid_submission();
   message.erase(GetParam().field);
   if (GetParam().value) message[GetParam().field] = json::parse(GetParam().value);
@@ -47,7 +47,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table, InvalidSubmission,
+    Table, MalformedSubmission,
     testing::Values(InvalidFieldCase{"nameId", nullptr}, InvalidFieldCase{"nameId", R"("job 1")"},
                     InvalidFieldCase{"nameId", R"("req-")"}, InvalidFieldCase{"nameId", R"("req-12/3")"},
                     InvalidFieldCase{"nameId", "7"}, InvalidFieldCase{"lane", nullptr},
