--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -13,8 +13,8 @@
 
 /// Reports an invalid setting on one line with its field and value; the program exits with status 2.
 struct SettingsError : std::runtime_error {
-  SettingsError(const std::string& field, const std::string& value, const std::string& why)
-      : std::runtime_error("bad setting: " + field + " = " + value + ": " + why) {}
+  SettingsError(const std::string& field, const std::string& value, const std::string& reason)
+      : std::runtime_error("bad setting: " + field + " = " + value + ": " + reason) {}
 };
 
 /// An IPv4 address with a port.
@@ -63,7 +63,7 @@
   [[nodiscard]] std::size_t max_compares() const { return 4 * max_writes(); }
   // The most values of full size in one transaction, whose body is limited as well.
   [[nodiscard]] std::size_t max_full_values() const {
-    // Of the 64 KB that the protocol allows, the rest is for conditions and one more value.
+    // The protocol allows 64 KB; the rest is for the conditions and one more value.
     constexpr double kMaxBodyKb = 40;
     return std::max<std::size_t>(1, static_cast<std::size_t>(kMaxBodyKb / max_value_kb));
   }
@@ -103,7 +103,8 @@
 /// Reads and checks the settings file. Throws SettingsError.
 Settings load_settings(const std::string& path);
 
-/// The operators' settings.
+/// The operators' settings. The defaults of the usage windows, their decay, the three cost factors and the
+/// scheduling interval come from the paper that sched/rank.hpp cites and from the project's design.
 struct Tuning {
   double usage_window_s = 30;  // length of a usage window
   int usage_windows = 12;      // usage windows kept
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr unsigned kHttp11 = 11;
-// The store's content comes in smaller pages.
+// A page of the store's content is smaller.
 constexpr std::uint64_t kMaxResponseBytes = std::uint64_t{64} * 1024 * 1024;
 
 asio::awaitable<ErrorCode> connect(Socket& socket, const config::Endpoint& endpoint) {
@@ -75,11 +75,11 @@
     parser.body_limit(kMaxResponseBytes);
     ec = co_await receive(*connection, buffer, parser);
     if (ec) co_return ClientResponse{};
-    ClientResponse answer{static_cast<int>(parser.get().result_int()), std::move(parser.get().body())};
+    ClientResponse response{static_cast<int>(parser.get().result_int()), std::move(parser.get().body())};
     // The deadline may have closed the connection by now, and a closed one must not be reused.
     if (parser.keep_alive() && idle_connections_.size() < max_idle_connections_ && connection->is_open())
       idle_connections_.push_back(std::move(connection));
-    co_return answer;
+    co_return response;
   }
   co_return ClientResponse{};
 }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -38,7 +38,7 @@
   return out;
 }
 
-// Returns whether the parser found an error in the request, as opposed to an error of the connection.
+// Returns true if the parser found an error in the request, as opposed to an error of the connection.
 bool is_malformed(const ErrorCode& ec) {
   return ec && ec != bhttp::error::end_of_stream &&
          ec.category() == bhttp::make_error_code(bhttp::error::bad_method).category();
@@ -111,8 +111,8 @@
   auto executor = co_await asio::this_coro::executor;
   asio::ip::tcp::acceptor acceptor(
       executor, asio::ip::tcp::endpoint(asio::ip::make_address_v4(endpoint.host), endpoint.port));
-  auto shared = std::make_shared<Handler>(std::move(handler));
-  auto open = std::make_shared<int>(0);
+  auto shared_handler = std::make_shared<Handler>(std::move(handler));
+  auto open_connections = std::make_shared<int>(0);
   auto deadlines = std::make_shared<core::SocketDeadlines>(executor, kDeadlineResolution);
   beast::error_code ec;
   auto on_error = asio::redirect_error(asio::use_awaitable, ec);
@@ -120,15 +120,17 @@
     Socket socket(executor);
     co_await acceptor.async_accept(socket, on_error);
     if (ec == asio::error::operation_aborted) co_return;
-    if (ec || *open >= max_connections) {
+    if (ec || *open_connections >= max_connections) {
       // No socket is left: close this one, and pause so that a failing accept does not spin.
       socket.close(ec);
       asio::steady_timer pause(executor, kPauseAfterRejection);
       co_await pause.async_wait(on_error);
       continue;
     }
-    asio::co_spawn(executor, serve_connection(std::move(socket), shared, OpenConnection(open), deadlines),
-                   asio::detached);
+    asio::co_spawn(
+        executor,
+        serve_connection(std::move(socket), shared_handler, OpenConnection(open_connections), deadlines),
+        asio::detached);
   }
 }
 
--- a/src/http/status.hpp
+++ b/src/http/status.hpp
@@ -3,7 +3,7 @@
 
 namespace finchrun::http::status {
 
-/// Not an HTTP status: no response arrived, and the request may have been executed or may be later.
+/// Not an HTTP status: no response arrived. The request may have been executed, or may still be executed.
 inline constexpr int kNoAnswer = 0;
 inline constexpr int kOk = 200;
 inline constexpr int kCreated = 201;     ///< a job was accepted
--- a/src/http/transport.hpp
+++ b/src/http/transport.hpp
@@ -15,7 +15,8 @@
 namespace asio = boost::asio;
 using Verb = boost::beast::http::verb;
 
-/// The response to a request. After `status::kNoAnswer` the request may have been executed or may be later.
+/// The response to a request. After `status::kNoAnswer` the request may have been executed, or may still be
+/// executed.
 struct ClientResponse {
   int status = status::kNoAnswer;
   std::string body;
