--- a/tests/app/cluster_test.cpp
+++ b/tests/app/cluster_test.cpp
@@ -122,8 +122,8 @@
                         // Controllers 0 and 2 run in zone a, whose machines are cut off with them.
                         cluster.after(13, [&cluster] {
                           for (const std::size_t n : {0, 2})
-                            for (const char* what : {"state", "cloud", "zone b"})
-                              cluster.blocked_links.insert({n, what});
+                            for (const char* target : {"state", "cloud", "zone b"})
+                              cluster.blocked_links.insert({n, target});
                           cluster.blocked_links.insert({1, "zone a"});
                           cluster.blocked_links.insert({1, "peers"});
                         });
@@ -224,6 +224,8 @@
     cluster.cloud.machines_never_ready = 1;
     cluster.submit(1, true, 4, 2, "red", "normal");
   });
+  // The time of the submission, a round, twice the boot time until the machine is overdue, a round, the boot
+  // of its replacement, and the job's run.
   constexpr double kRoundsAndBootsS = 14 + 2 + 2 * 5 + 2 + 5 + 4;
   cluster.run(kRoundsAndBootsS);
   EXPECT_EQ(cluster.cloud.hosts.size(), 4u) << "two initial machines, the overdue one and its replacement";
@@ -254,15 +256,16 @@
       cluster.crash(n, restart_after_s);
     });
   for (int i = 0; i < 3; ++i) {
-    const char* ends[] = {"state", "cloud", "zone a", "zone b"};
-    const std::pair<std::size_t, std::string> link{rng() % 3, ends[rng() % 4]};
+    const char* targets[] = {"state", "cloud", "zone a", "zone b"};
+    const std::pair<std::size_t, std::string> link{rng() % 3, targets[rng() % 4]};
     const double start_s = random_time_s();
     cluster.after(start_s, [&cluster, link] { cluster.blocked_links.insert(link); });
     cluster.after(start_s + 5 + rng() % 25, [&cluster, link] { cluster.blocked_links.erase(link); });
   }
-  const double outage_s = random_time_s();
-  cluster.after(outage_s, [&cluster] { cluster.store.outage = true; });
-  cluster.after(outage_s + 3 + rng() % 15, [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
+  const double outage_start_s = random_time_s();
+  cluster.after(outage_start_s, [&cluster] { cluster.store.outage = true; });
+  cluster.after(outage_start_s + 3 + rng() % 15,
+                [&cluster] { cluster.store.recover(core::SteadyClock::now()); });
   for (int i = 0; i < 4; ++i) {
     const double start_s = random_time_s();
     const auto pick = rng();
--- a/tests/app/fault_scenarios.hpp
+++ b/tests/app/fault_scenarios.hpp
@@ -8,6 +8,7 @@
 
 namespace finchrun::sim {
 
+// Turns off the controllers' log for all tests.
 struct LogSilencer {
   LogSilencer() { spdlog::set_level(spdlog::level::off); }
 };
--- a/tests/app/overlapping_faults_test.cpp
+++ b/tests/app/overlapping_faults_test.cpp
@@ -31,8 +31,8 @@
       cluster.suspend(agent, duration_s), --max_count;
 }
 
-// The key-value store rejects only the leader's requests, while other controllers confirm cancellations, and
-// then fails for all.
+// Makes the key-value store reject only the leader's requests, while other controllers confirm cancellations,
+// and then fail for all controllers.
 void reject_leader_then_fail(Cluster& cluster, double rejected_at, double outage_at, double outage_s) {
   cluster.after(rejected_at, [&cluster] { cluster.refused_by_store.insert(cluster.busiest_leader()); });
   for (double time_s = rejected_at; time_s < outage_at; time_s += 0.25)
@@ -95,7 +95,8 @@
 }
 
 // Tasks of jobs that are not cancelled survive a store outage while every controller reports its confirmed
-// cancellations to the leader. A controller that is cut off may know of another one, so leases must expire.
+// cancellations to the leader. A controller that cannot report may have confirmed another cancellation, so
+// leases must expire then.
 struct OutageCase {
   const char* name;
   std::function<void(Cluster&)> extra_fault;
@@ -149,8 +150,9 @@
   }
 }
 
-// The same while jobs arrive. Guards against a new fencing token for each start command without a response.
-// Each of the two partitions may take one, for start commands that were in flight.
+// The leader is cut off from agents while jobs arrive. Guards against a new fencing token for each start
+// command without a response. Each of the two partitions may take one token, for the start commands that were
+// in flight.
 TEST(LeaderCutOffFromAgents, TakesAtMostOneFencingTokenPerPartitionWhileTasksStart) {
   for (const std::uint32_t seed : {24u, 25u}) {
     Cluster cluster(seed);
@@ -230,8 +232,8 @@
                           const char* state) {
     for (std::size_t n = 0; n < 3; ++n)
       cluster.request_once(n, method, target, body,
-                           [&, target, status, state](int got, const std::string& text) {
-                             EXPECT_EQ(got, status) << target;
+                           [&, target, status, state](int actual_status, const std::string& text) {
+                             EXPECT_EQ(actual_status, status) << target;
                              if (state) {
                                EXPECT_EQ(json::parse(text).at("status").as_string(), state) << target;
                              }
@@ -353,8 +355,8 @@
                       [](Cluster& cluster) {
                         submit_long_arrays(cluster, 60);
                         cluster.after(15, [&cluster] {
-                          for (const char* what : {"state", "cloud", "peers", "zone a"})
-                            cluster.blocked_links.insert({1, what});
+                          for (const char* target : {"state", "cloud", "peers", "zone a"})
+                            cluster.blocked_links.insert({1, target});
                           for (const std::size_t n : {0, 2}) cluster.blocked_links.insert({n, "zone b"});
                         });
                         cluster.after(18, [&cluster] { cancel_running_jobs(cluster, 3); });
@@ -388,8 +390,9 @@
                             if (n++ % 2 == 0) {
                               agent.outbound_blocked = true;
                               cluster.after(30, [&cluster, name = agent.name] {
-                                if (const auto at = cluster.agents.find(name); at != cluster.agents.end())
-                                  at->second.outbound_blocked = false;
+                                if (const auto found = cluster.agents.find(name);
+                                    found != cluster.agents.end())
+                                  found->second.outbound_blocked = false;
                               });
                             }
                         });
@@ -504,10 +507,10 @@
       },
       [&](double duration_s, std::uint32_t) {
         const auto controller = cluster.busiest_leader();
-        for (const char* what : {"state", "peers"}) {
-          cluster.blocked_links.insert({controller, what});
-          cluster.after(duration_s, [&cluster, controller, what] {
-            cluster.blocked_links.erase({controller, what});
+        for (const char* target : {"state", "peers"}) {
+          cluster.blocked_links.insert({controller, target});
+          cluster.after(duration_s, [&cluster, controller, target] {
+            cluster.blocked_links.erase({controller, target});
           });
         }
       },
@@ -525,8 +528,8 @@
           if (!agent) continue;
           (pick % 2 ? agent->inbound_blocked : agent->outbound_blocked) = true;
           cluster.after(duration_s, [&cluster, name = agent->name] {
-            if (const auto at = cluster.agents.find(name); at != cluster.agents.end())
-              at->second.inbound_blocked = at->second.outbound_blocked = false;
+            if (const auto found = cluster.agents.find(name); found != cluster.agents.end())
+              found->second.inbound_blocked = found->second.outbound_blocked = false;
           });
         }
       },
--- a/tests/app/services_test.cpp
+++ b/tests/app/services_test.cpp
@@ -1,4 +1,4 @@
-// Services, and limits of the key-value store that are reduced while the controllers run.
+// Tests of services, and of limits of the key-value store that are reduced while the controllers run.
 #include "app/fault_scenarios.hpp"
 
 namespace finchrun::sim {
@@ -38,7 +38,7 @@
   int status;
 };
 class ServiceSubmission : public testing::TestWithParam<SubmissionCase> {};
-TEST_P(ServiceSubmission, ReturnsStatus) {
+TEST_P(ServiceSubmission, ReturnsTheExpectedStatus) {
   Cluster cluster(3);
   std::string id;
   cluster.after(8, [&] { id = cluster.submit_service(3, "red"); });
@@ -48,7 +48,7 @@
   spec[GetParam().field] = GetParam().value;
   int status = 0;
   cluster.request_once(1, "POST", "/submissions", json::serialize(spec),
-                       [&](int s, const std::string&) { status = s; });
+                       [&](int response_status, const std::string&) { status = response_status; });
   cluster.run(2);
   EXPECT_EQ(status, GetParam().status);
 }
@@ -66,7 +66,7 @@
 
 // At most half of the replicas, rounded up, may be in one zone. When a zone with two of three replicas fails,
 // one of them moves to the other zone.
-TEST(Services, MoveAReplicaToAZoneWithinItsShare) {
+TEST(Services, MoveReplicasFromAFailedZoneUpToTheZoneMaximum) {
   Cluster cluster(5);
   std::string id;
   cluster.after(8, [&] { id = cluster.submit_service(3, "red"); });
@@ -146,7 +146,7 @@
 
 struct LimitReduction {
   const char* name;
-  double at_s;
+  double enforced_at_s;
   std::function<void(Cluster&)> inject_faults;
 };
 class ReducedStoreLimits : public testing::TestWithParam<LimitReduction> {};
@@ -161,7 +161,7 @@
     cluster.after(20, [&cluster] { cluster.announce_store_limits({1000, 200, 1, 5}); });
     for (std::size_t n = 0; n < 3; ++n)
       cluster.after(21 + 5 * static_cast<double>(n), [&cluster, n] { cluster.crash(n, 1); });
-    cluster.after(GetParam().at_s, [&cluster] {
+    cluster.after(GetParam().enforced_at_s, [&cluster] {
       cluster.store.max_value_bytes = 1024;
       cluster.store.max_transaction_writes = 5;
     });
--- a/tests/sim/agents.cpp
+++ b/tests/sim/agents.cpp
@@ -27,13 +27,13 @@
 }
 
 void Cluster::expire_lease(Agent& agent) {
-  const auto before = agent.agent_incarnation;
-  const auto lost =
+  const auto previous_incarnation = agent.agent_incarnation;
+  const auto killed_tasks =
       static_cast<std::size_t>(std::count_if(agent.tasks.begin(), agent.tasks.end(), [&](const auto& item) {
         return item.second.is_on_machine() && !jobs.at(item.first.first).cancellation_requested;
       }));
   agent.expire_lease(settings_.agent_lease_s, now_);
-  tasks_killed_by_lease += agent.agent_incarnation != before ? lost : 0;
+  tasks_killed_by_lease += agent.agent_incarnation != previous_incarnation ? killed_tasks : 0;
 }
 
 // Advances a task's state if its next transition is due. Returns true if the task has completed.
@@ -71,12 +71,12 @@
 void Cluster::run_task(Agent& agent, Task& task) {
   auto& job = jobs.at(task.job);
   if (job.gang) {
-    std::size_t present = 0;
+    std::size_t present_tasks = 0;
     for_each_task([&](const Agent&, const Task& other) {
       const bool started = other.state == "waiting" || other.state == "running";
-      present += other.job == task.job && other.attempt == task.attempt && started ? 1 : 0;
+      present_tasks += other.job == task.job && other.attempt == task.attempt && started ? 1 : 0;
     });
-    if (present != job.tasks) return;
+    if (present_tasks != job.tasks) return;
   }
   task.state = "running";
   if (job.is_service) job.run_s = kServiceRunS;
--- a/tests/sim/cluster.cpp
+++ b/tests/sim/cluster.cpp
@@ -12,8 +12,8 @@
 constexpr std::chrono::milliseconds kTimeStep{10};
 // Killed processes. Their suspended coroutines refer to their objects, so none of them is destroyed.
 std::vector<std::shared_ptr<void>>& killed_processes() {
-  static auto* dead = new std::vector<std::shared_ptr<void>>;
-  return *dead;
+  static auto* processes = new std::vector<std::shared_ptr<void>>;
+  return *processes;
 }
 
 }  // namespace
--- a/tests/sim/cluster.hpp
+++ b/tests/sim/cluster.hpp
@@ -72,8 +72,8 @@
   std::map<std::string, Agent> agents;
   // A controller and what it is cut off from, in both directions: "state", "cloud", "peers" or a zone.
   std::set<std::pair<std::size_t, std::string>> blocked_links;
-  std::set<std::size_t> refused_by_store;       // the key-value store answers their requests with 503
-  std::set<std::size_t> suspended_controllers;  // their clocks go on
+  std::set<std::size_t> refused_by_store;       // the key-value store responds to them with 503
+  std::set<std::size_t> suspended_controllers;  // their event loops stop, but time passes
   // The end of the faults, from which the checks for starvation and forgotten jobs count their time.
   TimePoint faults_over_at;
   std::size_t task_starts = 0;
@@ -138,7 +138,7 @@
   }
 
   config::Settings settings_;
-  std::map<std::string, TimePoint> startable_since_;  // waiting jobs that would fit, and since when
+  std::map<std::string, TimePoint> startable_since_;  // by waiting job: since when it could start
   TimePoint now_;
   std::multimap<TimePoint, std::function<void()>> events_;
   std::vector<std::unique_ptr<ControllerProcess>> processes_;
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -47,19 +47,19 @@
 /// One controller process: the real controller on its own event loop.
 struct Cluster::ControllerProcess {
   ControllerProcess(Cluster& cluster, std::size_t index, const config::Settings& settings, std::uint32_t seed)
-      : net(cluster, io, index),
-        controller(io, net, settings, config::Tuning{}, seed, links(cluster, io, index)) {
+      : network(cluster, io, index),
+        controller(io, network, settings, config::Tuning{}, seed, links(cluster, io, index)) {
     controller.start();
   }
   static std::vector<std::unique_ptr<peer::Link>> links(Cluster& cluster, asio::io_context& io,
                                                         std::size_t index) {
-    std::vector<std::unique_ptr<peer::Link>> out;
+    std::vector<std::unique_ptr<peer::Link>> result;
     for (std::size_t n = 0; n < cluster.processes_.size(); ++n)
-      if (n != index) out.push_back(std::make_unique<PeerConnection>(cluster, io, index, n));
-    return out;
+      if (n != index) result.push_back(std::make_unique<PeerConnection>(cluster, io, index, n));
+    return result;
   }
   asio::io_context io{1};
-  SimulatedNetwork net;
+  SimulatedNetwork network;
   app::Controller controller;
 };
 
--- a/tests/sim/rules.cpp
+++ b/tests/sim/rules.cpp
@@ -6,7 +6,7 @@
 namespace finchrun::sim {
 namespace {
 
-constexpr double kRounding = 1e-9;
+constexpr double kRoundingTolerance = 1e-9;
 constexpr double kMachineGpus = 4;
 
 }  // namespace
@@ -57,11 +57,11 @@
 
 // Checks the rules quota, ran_cancelled and forgotten, and also that no job starves.
 void Cluster::check_rules() {
-  std::map<std::string, double> used;
+  std::map<std::string, double> used_gpus;
   for_each_task([&](const Agent& agent, const Task& task) {
     if (agent.dead || !task.is_on_machine()) return;
     const auto& job = jobs.at(task.job);
-    used[job.team] += job.gpus;
+    used_gpus[job.team] += job.gpus;
     if (job.reported_cancelled_at &&
         core::seconds_between(*job.reported_cancelled_at, now_) > settings_.cancel_s)
       violations.push_back("ran_cancelled " + task.job);
@@ -72,7 +72,7 @@
         core::seconds_between(std::max(job.last_response_at, faults_over_at), now_) > kMaxSilenceS)
       violations.push_back("forgotten " + id + ": no request about it is answered");
   for (const auto& team : settings_.teams)
-    if (used[team.name] > team.gpus_max + kRounding) violations.push_back("quota " + team.name);
+    if (used_gpus[team.name] > team.gpus_max + kRoundingTolerance) violations.push_back("quota " + team.name);
   check_starvation();
   add_replica_time();
 }
@@ -118,12 +118,12 @@
   const std::size_t started = found == capacity.tasks.end() ? 0 : found->second;
   if (job.completed.size() + started >= job.tasks || (job.gang && started > 0)) return false;
   const double places_needed = job.gang ? job.tasks : 1;
-  if (capacity.gpus_by_team.at(job.team) + kRounding < places_needed * job.gpus) return false;
+  if (capacity.gpus_by_team.at(job.team) + kRoundingTolerance < places_needed * job.gpus) return false;
   return std::any_of(capacity.machine_gpus_by_zone.begin(), capacity.machine_gpus_by_zone.end(),
                      [&](const auto& zone) {
                        double places = 0;
                        for (const double gpus : zone.second)
-                         places += std::floor((gpus + kRounding) / job.gpus);
+                         places += std::floor((gpus + kRoundingTolerance) / job.gpus);
                        return places >= places_needed;
                      });
 }
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -13,12 +13,12 @@
 std::uint64_t to_integer(const json::value& value) { return value.to_number<std::uint64_t>(); }
 ClientResponse json_response(int status, const json::object& body) { return {status, json::serialize(body)}; }
 
-std::string query(const std::string& target, const std::string& key) {
-  for (const char* lead : {"?", "&"}) {
-    const auto at = target.find(lead + key + "=");
-    if (at == std::string::npos) continue;
-    const auto from = at + key.size() + 2;
-    return target.substr(from, target.find('&', from) - from);
+std::string query_parameter(const std::string& target, const std::string& key) {
+  for (const char* separator : {"?", "&"}) {
+    const auto position = target.find(separator + key + "=");
+    if (position == std::string::npos) continue;
+    const auto begin = position + key.size() + 2;
+    return target.substr(begin, target.find('&', begin) - begin);
   }
   return {};
 }
@@ -31,11 +31,11 @@
       ++it;
       continue;
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> expired_keys;
     for (const auto& [key, item] : items_)
-      if (item.store_lease == it->first) gone.push_back(key);
-    if (!gone.empty()) ++revision_;
-    for (const auto& key : gone) {
+      if (item.store_lease == it->first) expired_keys.push_back(key);
+    if (!expired_keys.empty()) ++revision_;
+    for (const auto& key : expired_keys) {
       items_.erase(key);
       changes_.push_back({revision_, key, std::nullopt});
     }
@@ -45,7 +45,7 @@
 
 void StoreService::recover(TimePoint now) {
   outage = false;
-  for (auto& [_, host] : store_leases_) host.ends = now + core::to_duration(host.ttl_s);
+  for (auto& [_, store_lease] : store_leases_) store_lease.ends = now + core::to_duration(store_lease.ttl_s);
 }
 
 std::size_t StoreService::change_count(const std::string& prefix) const {
@@ -152,8 +152,9 @@
   if (outage) return {http::status::kServiceUnavailable, "{}"};
   expire_leases(now);
   if (target == "/commit") return commit(json::parse(body).as_object());
-  if (target.starts_with("/follow")) return changes_since(std::stoull(query(target, "from")));
-  if (target.starts_with("/store?")) return page(query(target, "from"), std::stoul(query(target, "limit")));
+  if (target.starts_with("/follow")) return changes_since(std::stoull(query_parameter(target, "from")));
+  if (target.starts_with("/store?"))
+    return page(query_parameter(target, "from"), std::stoul(query_parameter(target, "limit")));
   if (target == kGrants) return grant_lease(json::parse(body).at("ttlMs").to_number<double>() / kMsPerS, now);
   if (target.starts_with("/grants/") && verb == http::Verb::post)
     return renew_lease(std::stoull(target.substr(kGrants.size() + 1)), now);
@@ -161,35 +162,34 @@
 }
 
 json::object Agent::heartbeat() {
-  json::array pieces;
+  json::array task_statuses;
   for (const auto& [key, task] : tasks) {
-    json::object piece_status{{"piece", task.job + "/" + std::to_string(task.number)},
-                              {"try", task.attempt},
-                              {"status", task.state}};
+    json::object task_status{{"piece", task.job + "/" + std::to_string(task.number)},
+                             {"try", task.attempt},
+                             {"status", task.state}};
     if (task.state == "ended") {
-      piece_status["cause"] = task.cause;
-      piece_status["stored"] = task.checkpoint_saved;
+      task_status["cause"] = task.cause;
+      task_status["stored"] = task.checkpoint_saved;
     }
-    pieces.push_back(piece_status);
+    task_statuses.push_back(task_status);
   }
-  return {{"perch", name},      {"endpoint", endpoint},   {"rack", type},
-          {"hall", zone},       {"loaners", spot},        {"stint", agent_incarnation},
-          {"tick", ++sequence}, {"baton", fencing_token}, {"warningS", nullptr},
-          {"pieces", pieces}};
+  return {{"perch", name},       {"endpoint", endpoint},       {"rack", type},       {"hall", zone},
+          {"loaners", spot},     {"stint", agent_incarnation}, {"tick", ++sequence}, {"baton", fencing_token},
+          {"warningS", nullptr}, {"pieces", task_statuses}};
 }
 
 void Agent::execute(const json::array& commands, std::map<std::string, JobHistory>& jobs, TimePoint now) {
   for (const auto& command : commands) {
-    const std::string piece(command.at("piece").as_string());
-    const auto slash = piece.rfind('/');
-    const std::pair key{piece.substr(0, slash),
-                        static_cast<std::uint32_t>(std::stoul(piece.substr(slash + 1)))};
+    const std::string task_id(command.at("piece").as_string());
+    const auto slash = task_id.rfind('/');
+    const std::pair key{task_id.substr(0, slash),
+                        static_cast<std::uint32_t>(std::stoul(task_id.substr(slash + 1)))};
     const auto attempt = to_integer(command.at("try"));
     const auto& verb = command.at("verb").as_string();
     auto it = tasks.find(key);
     if (verb == "run") {
       if (it != tasks.end() && it->second.attempt == attempt) continue;
-      if (it != tasks.end() && it->second.state != "ended") continue;  // in_use
+      if (it != tasks.end() && it->second.state != "ended") continue;  // the protocol's reason `in_use`
       Task task{key.first, key.second, attempt, "pulling", "", false, {}, 0};
       task.next_transition = now + core::to_duration(jobs.at(key.first).image_pull_s);
       tasks[key] = task;
@@ -198,12 +198,12 @@
       continue;
     } else if (verb == "kill") {
       if (it->second.state == "ended") continue;
-      const double grace = command.at("leewayS").to_number<double>();
-      const double save = jobs.at(key.first).checkpoint_write_s;
-      if (it->second.state == "running" && grace >= save) {
+      const double grace_s = command.at("leewayS").to_number<double>();
+      const double save_s = jobs.at(key.first).checkpoint_write_s;
+      if (it->second.state == "running" && grace_s >= save_s) {
         it->second.state = "flushing";
-        it->second.next_transition = now + core::to_duration(save);
-      } else if (it->second.state != "flushing" || grace <= 0) {
+        it->second.next_transition = now + core::to_duration(save_s);
+      } else if (it->second.state != "flushing" || grace_s <= 0) {
         it->second.state = "ended";
         it->second.cause = "halted";
       }
@@ -217,10 +217,10 @@
 ClientResponse Agent::handle_commands(const std::string& body, std::map<std::string, JobHistory>& jobs,
                                       TimePoint now) {
   const auto request = json::parse(body).as_object();
-  const auto offered = to_integer(request.at("baton"));
-  if (offered < fencing_token) return json_response(http::status::kConflict, heartbeat());
-  if (offered > fencing_token) changed = true;
-  fencing_token = offered;
+  const auto offered_fencing_token = to_integer(request.at("baton"));
+  if (offered_fencing_token < fencing_token) return json_response(http::status::kConflict, heartbeat());
+  if (offered_fencing_token > fencing_token) changed = true;
+  fencing_token = offered_fencing_token;
   if (to_integer(request.at("stint")) != agent_incarnation)
     return json_response(http::status::kConflict, heartbeat());
   execute(request.at("orders").as_array(), jobs, now);
@@ -237,10 +237,10 @@
 
 std::string CloudService::add_machine(const std::string& zone, TimePoint now, double boot_s) {
   char name[32];
-  std::snprintf(name, sizeof name, "host-%06d", next_);
-  const std::string endpoint = "10.1.0." + std::to_string(next_ + 1) + ":9000";
+  std::snprintf(name, sizeof name, "host-%06d", next_machine_number_);
+  const std::string endpoint = "10.1.0." + std::to_string(next_machine_number_ + 1) + ":9000";
   hosts[name] = {name, endpoint, "g4", zone, false, now, now + core::to_duration(boot_s), false};
-  ++next_;
+  ++next_machine_number_;
   return name;
 }
 
@@ -286,15 +286,15 @@
     if (names.empty()) {
       if (count_in_zone >= (spot ? spot_capacity : capacity))
         return {http::status::kServiceUnavailable, R"({"error":"no capacity"})"};
-      constexpr double kBootS = 5, kNever = 1e6;
-      names.push_back(add_machine(zone, now, machines_never_ready-- > 0 ? kNever : kBootS));
+      constexpr double kBootS = 5, kNeverS = 1e6;
+      names.push_back(add_machine(zone, now, machines_never_ready-- > 0 ? kNeverS : kBootS));
       hosts[names.back()].spot = spot;
     }
     json::array result;
     for (const auto& name : names) result.emplace_back(name);
     return json_response(http::status::kOk, {{"perches", result}});
   }
-  // The list lags by three seconds.
+  // The list lags by three seconds, and by up to six if requests are rare.
   recent_lists_.emplace_back(now, list(now));
   while (recent_lists_.size() > 1 && (recent_lists_[1].first + core::to_duration(3) <= now ||
                                       recent_lists_[0].first + core::to_duration(6) < now))
--- a/tests/sim/services.hpp
+++ b/tests/sim/services.hpp
@@ -143,7 +143,7 @@
   std::map<std::string, std::vector<std::string>> machines_by_request_;
   std::deque<std::pair<TimePoint, json::object>> recent_lists_;
   json::object list(TimePoint now);
-  int next_ = 0;
+  int next_machine_number_ = 0;
 };
 
 }  // namespace finchrun::sim
