--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -67,11 +67,11 @@
     case InfeasibleReason::over_team_limit:
       return "the job needs more than its team's limit";
     case InfeasibleReason::single_zone_with_spread:
-      return "together and scatter are mutually exclusive";
+      return "together and scatter exclude each other";
     case InfeasibleReason::spread_needs_second_zone:
-      return "scatter needs a second zone in which a task fits an allowed machine type";
+      return "scatter needs a second zone that allows its tasks";
     case InfeasibleReason::gang_too_large:
-      return "pieces: too many tasks for a gang to be recorded at once";
+      return "pieces: more than can be recorded to start together";
     case InfeasibleReason::types_too_long:
       return "racks: too long to be recorded";
     case InfeasibleReason::image_too_long:
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -22,11 +22,11 @@
 struct RefusalResponse {
   http::Response operator()(const OutsideDeployment&) const { return redirect_to(std::nullopt); }
   http::Response operator()(const LedElsewhere& elsewhere) const { return redirect_to(elsewhere.leader); }
-  http::Response operator()(const NoLeader&) const { return retry_later("partition has no leader"); }
+  http::Response operator()(const NoLeader&) const { return retry_later("no owner"); }
   http::Response operator()(const CancellationsUnknown&) const {
-    return retry_later("state service unavailable");
+    return retry_later("no news from the state service");
   }
-  http::Response operator()(const MachineDeleted&) const { return retry_later("machine was deleted"); }
+  http::Response operator()(const MachineDeleted&) const { return retry_later("machine was returned"); }
 };
 
 // Updates the machine's type, zone and partition from the heartbeat.
--- a/src/gateway/job_api.cpp
+++ b/src/gateway/job_api.cpp
@@ -28,7 +28,7 @@
 // Longer than the usual second, since an upgrade of all controllers takes a while.
 constexpr int kUpgradeRetryAfterS = 5;
 
-constexpr const char* kStoreUnreachableText = "state service unavailable";
+constexpr const char* kStoreUnreachableText = "no news from the state service";
 constexpr const char* kStateUnknownText = "state unknown";
 constexpr const char* kNoSuchJobText = "no such job";
 
@@ -105,9 +105,9 @@
     return decide_admission(state, submission, core::SteadyClock::now(), core::unix_time_s());
   });
 
-  if (std::holds_alternative<NotReady>(admission)) co_return retry_later("controller is not ready");
+  if (std::holds_alternative<NotReady>(admission)) co_return retry_later("not ready to decide");
   if (std::holds_alternative<AwaitingUpgrade>(admission))
-    co_return retry_later("standing jobs require the upgrade of all controllers", kUpgradeRetryAfterS);
+    co_return retry_later("standing jobs wait for the upgrade of all controllers", kUpgradeRetryAfterS);
   if (is_store_unreachable()) co_return retry_later(kStoreUnreachableText);
   if (std::holds_alternative<Infeasible>(admission)) {
     // 422 is final to the user. Another controller may have accepted the job under settings or machine types
@@ -144,7 +144,7 @@
       if (job_exists(job)) co_return co_await query(job);
       co_return retry_later(kStateUnknownText);
     default:
-      co_return retry_later("state service refused the write");
+      co_return retry_later("state service refuses");
   }
 }
 
@@ -165,7 +165,7 @@
         peer_service_.announce_cancellation(id);
         co_return status_of(cancellable->job);
       }
-      if (result.outcome == CommitStatus::refused) co_return retry_later("state service refused the write");
+      if (result.outcome == CommitStatus::refused) co_return retry_later("state service refuses");
     }
     // The record has changed, the commit got no answer, or the job is unknown here. Retries after a read.
     if (!co_await follower_.linearizable_read(deadline)) co_return retry_later(kStateUnknownText);
--- a/src/gateway/router.cpp
+++ b/src/gateway/router.cpp
@@ -29,7 +29,7 @@
     case Endpoint::heartbeat:
       co_return co_await agents_.handle_request(std::move(request.body));
     case Endpoint::readiness:
-      if (!jobs_.is_ready()) co_return retry_later("state service unavailable");
+      if (!jobs_.is_ready()) co_return retry_later("no news from the state service");
       co_return http::Response{http::status::kOk, "{}"};
     case Endpoint::submit:
       co_return co_await jobs_.submit(std::move(request.body));
