--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -17,12 +17,13 @@
       membership_(runtime_, state_, store_, follower_, settings_, tuning_),
       leadership_(runtime_, state_, follower_),
       commands_(runtime_, state_, network, writer_wakeup_),
-      cancellation_stops_(runtime_, state_, commands_),
-      agents_(state_, peers_, settings_, writer_wakeup_),
-      peer_service_(runtime_, state_, store_, peers_, settings_,
-                    [this](const std::string& heartbeat) { return agents_.handle_heartbeat(heartbeat); }),
+      cancelled_task_stopper_(runtime_, state_, commands_),
+      agent_gateway_(state_, peers_, settings_, writer_wakeup_),
+      peer_service_(
+          runtime_, state_, store_, peers_, settings_,
+          [this](const std::string& heartbeat) { return agent_gateway_.handle_heartbeat(heartbeat); }),
       jobs_(state_, store_, follower_, peers_, peer_service_),
-      router_(jobs_, agents_),
+      router_(jobs_, agent_gateway_),
       placement_recorder_(state_, store_, follower_, commands_, runtime_),
       exit_recorder_(state_, store_, follower_),
       preemptor_(runtime_, state_, commands_, tuning_),
@@ -53,7 +54,7 @@
   runtime_.run_forever(follower_.run());
   runtime_.run_forever(leadership_.run());
   runtime_.run_forever(commands_.run_probes());
-  runtime_.run_forever(cancellation_stops_.run());
+  runtime_.run_forever(cancelled_task_stopper_.run());
   runtime_.run_forever(partition_writer_.run());
   runtime_.run_forever(autoscaler_.run());
 }
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -45,8 +45,8 @@
   coordination::Membership membership_;
   coordination::Leadership leadership_;
   gateway::AgentCommands commands_;
-  gateway::CancelledTaskStopper cancellation_stops_;
-  gateway::AgentGateway agents_;
+  gateway::CancelledTaskStopper cancelled_task_stopper_;
+  gateway::AgentGateway agent_gateway_;
   coordination::PeerService peer_service_;
   gateway::JobApi jobs_;
   gateway::Router router_;
--- a/src/gateway/router.cpp
+++ b/src/gateway/router.cpp
@@ -27,7 +27,7 @@
   const auto& route = std::get<Route>(parsed);
   switch (route.endpoint) {
     case Endpoint::heartbeat:
-      co_return co_await agents_.handle_request(std::move(request.body));
+      co_return co_await agent_gateway_.handle_request(std::move(request.body));
     case Endpoint::readiness:
       if (!jobs_.is_ready()) co_return retry_later("no news from the state service");
       co_return http::Response{http::status::kOk, "{}"};
--- a/src/gateway/router.hpp
+++ b/src/gateway/router.hpp
@@ -9,14 +9,14 @@
 /// The HTTP interface for users, agents and the load balancer's health checks.
 class Router {
  public:
-  Router(JobApi& jobs, AgentGateway& agents) : jobs_(jobs), agents_(agents) {}
+  Router(JobApi& jobs, AgentGateway& agent_gateway) : jobs_(jobs), agent_gateway_(agent_gateway) {}
 
   /// Answers a request, with 404 or 405 if no component handles it.
   asio::awaitable<http::Response> handle(http::Request request);
 
  private:
   JobApi& jobs_;
-  AgentGateway& agents_;
+  AgentGateway& agent_gateway_;
 };
 
 }  // namespace finchrun::gateway
