--- a/src/agent/fleet.hpp
+++ b/src/agent/fleet.hpp
@@ -65,11 +65,11 @@
   /// The types that the cloud offers; empty: not known yet.
   std::vector<cloud::MachineType> machine_types;
   std::vector<core::MachineTypeId> machine_type_ids;  ///< of `machine_types`, in the same order
-  /// Null for a type that the cloud does not offer.
+  /// Returns the type of this id; null for a type that the cloud does not offer.
   [[nodiscard]] const cloud::MachineType* machine_type(core::MachineTypeId id) const;
 
   std::set<ObservedExit> observed_exits;
-  /// True if the assigned attempt is known to be gone from its machine, completed or not.
+  /// Returns true if the assigned attempt is known to be gone from its machine, completed or not.
   [[nodiscard]] bool has_ended(core::JobId job, core::PartitionId partition,
                                const jobs::TaskAssignment& assignment) const;
 
--- a/src/agent/heartbeat_handler.cpp
+++ b/src/agent/heartbeat_handler.cpp
@@ -45,12 +45,12 @@
   return {item.job, item.assignment.task, item.assignment.attempt};
 }
 
-/// An exit of the assigned attempt without completion.
+/// Returns the exit of the assigned attempt, not completed.
 ObservedExit exit_of(const MachineAssignment& item) {
   return {item.job, item.partition, item.assignment.task, item.assignment.attempt, false};
 }
 
-/// True if the task is recorded as completed in any partition. Replicas of a service never are.
+/// Returns true if the task is recorded as completed in any partition. Replicas of a service never are.
 bool is_done(const state::StateCache& cache, const jobs::JobRecord& job, core::JobId id, std::uint32_t task) {
   if (job.spec.is_service()) return false;
   bool done = false;
@@ -108,11 +108,12 @@
       machine_.mark_reachable();
   }
 
-  /// True if the incarnation has lasted longer than a lease, so that the agent must have received an answer.
+  /// Returns true if the incarnation has lasted longer than a lease, so that the agent must have received an
+  /// answer.
   [[nodiscard]] bool has_outlived_lease() const {
     const double lease_with_drift_s = context_.lease_s * 1.05 + 1;
     return machine_.is_unreachable() && heartbeat_.agent_incarnation == machine_.agent_incarnation &&
-           core::seconds_between(machine_.unreachable_in_incarnation, context_.now) > lease_with_drift_s;
+           core::seconds_between(machine_.last_marked_unreachable, context_.now) > lease_with_drift_s;
   }
 
   void record_newest() {
@@ -144,7 +145,7 @@
     if (unwanted) stop(item, *status, live);
   }
 
-  /// The status of the assigned attempt; null if the heartbeat does not name it.
+  /// Returns the status of the assigned attempt; null if the heartbeat does not name it.
   const TaskStatus* status_of(const MachineAssignment& item) {
     const auto& job_name = context_.names.jobs.name(item.job);
     const auto found =
@@ -162,15 +163,15 @@
     machine_.use_image(spec.image, spec.image_gb, type ? std::optional(type->cache_gb) : std::nullopt);
   }
 
-  /// True if the task should not run: it is preempted or recorded as done, its gang's attempt is broken, or
-  /// its job is over (`job` is null).
+  /// Returns true if the task should not run: it is preempted or recorded as done, its gang's attempt is
+  /// broken, or its job is not live (`job` is null).
   [[nodiscard]] bool is_unwanted(const MachineAssignment& item, const jobs::JobRecord* job) const {
     return !job || context_.fleet.preempting.contains(attempt_of(item)) ||
            is_gang_broken(*job, context_.cache, context_.fleet, item.job) ||
            is_done(context_.cache, *job, item.job, item.assignment.task);
   }
 
-  /// Rule 3: the heartbeat shows that the task has ended.
+  /// Handles an assigned task that the heartbeat shows as ended (rule 3).
   void handle_exit(const MachineAssignment& item, const TaskStatus& status, bool is_replica) {
     auto observed_exit = exit_of(item);
     // A replica runs again, whatever the cause of its end.
@@ -185,8 +186,8 @@
     if (status.cause == ExitCause::done) machine_.failed_jobs.clear();
   }
 
-  /// Failures of several jobs on one machine indicate a fault of the machine; failures of one job on several
-  /// machines a fault of the job.
+  /// Records a failure of the job on the machine. Failures of several jobs on one machine indicate a fault of
+  /// the machine; failures of one job on several machines indicate a fault of the job.
   void record_failure(core::JobId job) {
     machine_.failed_jobs.insert(job);
     if (machine_.failed_jobs.size() >= kFailedJobsUntilQuarantine && !machine_.quarantined) {
@@ -198,7 +199,8 @@
     context_.job_failures[job].record(machine_.id, context_.now);
   }
 
-  /// The heartbeat does not name the task: either this proves the task gone, or its start command is sent.
+  /// Handles an assigned task that the heartbeat does not name. Either this proves the task gone, or its
+  /// start command is sent.
   void handle_missing(const MachineAssignment& item, bool unwanted) {
     const auto attempt = attempt_of(item);
     if (proves_absence(attempt) && (unwanted || context_.fleet.confirmed_starts.contains(attempt)))
@@ -209,17 +211,17 @@
                                 item.assignment.task, item.assignment.attempt, 0});
   }
 
-  /// Rules 3 and 4: a task missing from the heartbeat is gone if no start command for it is in flight. Start
-  /// commands in answers to earlier heartbeats are void once the agent sends this one.
+  /// Returns true if a task missing from the heartbeat is gone (rules 3 and 4): no start command for it is in
+  /// flight. Start commands in answers to earlier heartbeats are void once the agent sends this one.
   [[nodiscard]] bool proves_absence(const TaskAttempt& attempt) const {
     return is_trusted() && !context_.is_direct_answer && !may_still_start(attempt);
   }
 
-  /// True if the agent had seen this controller's fencing token. Only then does the heartbeat prove that no
-  /// command of an earlier leader can still be executed.
+  /// Returns true if the agent had seen this controller's fencing token. Only then does the heartbeat prove
+  /// that no command of an earlier leader can still be executed.
   [[nodiscard]] bool is_trusted() const { return heartbeat_.fencing_token == context_.fencing_token; }
 
-  /// True if a direct start command may be executed after this heartbeat was sent.
+  /// Returns true if a direct start command may be executed after this heartbeat was sent.
   [[nodiscard]] bool may_still_start(const TaskAttempt& attempt) const {
     const auto found = context_.fleet.direct_starts.find(attempt);
     if (found == context_.fleet.direct_starts.end()) return false;
@@ -287,12 +289,13 @@
   if (!job.spec.is_gang()) return false;
   std::size_t placed = 0;
   bool lost = false;
-  cache.for_each_assignments(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
-    placed += run.assignments.size();
-    for (const auto& assignment : run.assignments)
-      lost =
-          lost || fleet.observed_exits.contains({id, partition, assignment.task, assignment.attempt, false});
-  });
+  cache.for_each_assignments(
+      id, [&](core::PartitionId partition, const jobs::JobAssignments& job_assignments) {
+        placed += job_assignments.assignments.size();
+        for (const auto& assignment : job_assignments.assignments)
+          lost = lost ||
+                 fleet.observed_exits.contains({id, partition, assignment.task, assignment.attempt, false});
+      });
   return lost || placed != job.spec.tasks;
 }
 
--- a/src/agent/heartbeat_handler.hpp
+++ b/src/agent/heartbeat_handler.hpp
@@ -55,8 +55,8 @@
 HeartbeatResult handle_heartbeat(HeartbeatContext context, Machine& machine,
                                  const wire::Heartbeat& heartbeat);
 
-/// True if the gang's attempt has lost a task in any partition. Its remaining tasks must end before the next
-/// attempt.
+/// Returns true if the gang's attempt has lost a task in any partition. Its remaining tasks must end before
+/// the next attempt.
 bool is_gang_broken(const jobs::JobRecord& job, const state::StateCache& cache, const Fleet& fleet,
                     core::JobId id);
 
--- a/src/agent/machine.hpp
+++ b/src/agent/machine.hpp
@@ -54,7 +54,7 @@
   /// Set while heartbeats arrive, but nothing shows that the answers to them reach the agent. No task is
   /// placed on such a machine, since it would not start.
   std::optional<core::TimePoint> unreachable_since;
-  core::TimePoint unreachable_in_incarnation{};  ///< the last sign of this, in the newest incarnation
+  core::TimePoint last_marked_unreachable{};  ///< time of the last call of `mark_unreachable`
 
   // --- Tasks and images.
   std::size_t unrecorded_tasks = 0;  ///< number of tasks that the agent holds and no record names
@@ -65,7 +65,7 @@
   // --- Failures.
   std::set<core::JobId> failed_jobs;  ///< jobs with failed tasks here since the last task that succeeded
   core::TimePoint cordoned_until{};   ///< other machines are preferred until then
-  bool quarantined = false;           ///< gets no more tasks, and is returned once it is empty
+  bool quarantined = false;           ///< gets no more tasks, and is deleted once it is empty
 
   // --- Scale in.
   bool terminating = false;  ///< the cloud is being asked to delete the machine
@@ -77,15 +77,15 @@
   core::TimePoint reservation_expires_at{};  ///< expiry of the reservation
 
   [[nodiscard]] bool is_unreachable() const { return unreachable_since.has_value(); }
-  /// Records that a message of this controller did not reach the agent's newest incarnation.
+  /// Records that a message of this controller may not have reached the agent's newest incarnation.
   void mark_unreachable(core::TimePoint now) {
-    unreachable_in_incarnation = now;
+    last_marked_unreachable = now;
     if (!unreachable_since) unreachable_since = now;
   }
   /// Records that a message of this controller has reached the agent.
   void mark_reachable() { unreachable_since.reset(); }
 
-  /// True if a message of the agent with these numbers is not newer than the newest one handled.
+  /// Returns true if a message of the agent with these numbers is not newer than the newest one handled.
   [[nodiscard]] bool is_outdated(std::uint64_t incarnation, std::uint64_t message_sequence) const {
     return has_heartbeat &&
            std::pair(incarnation, message_sequence) <= std::pair(agent_incarnation, sequence);
--- a/src/controller/controller_state.cpp
+++ b/src/controller/controller_state.cpp
@@ -30,7 +30,7 @@
   return names;
 }
 
-// The guaranteed accelerators if there are any, else the guaranteed processors.
+// Returns the guaranteed accelerators if there are any, else the guaranteed processors.
 double fair_share_weight(const config::Team& team) {
   if (team.gpus > 0) return team.gpus;
   return team.cpus > 0 ? team.cpus : 1.0;
@@ -48,7 +48,7 @@
     fleet.direct_starts.erase(start);
 }
 
-// True if the job class has objectives, and all of them are deadlines.
+// Returns true if the job class has objectives, and all of them are deadlines.
 bool has_only_deadline_objectives(const std::vector<config::Objective>& objectives,
                                   const std::string& job_class) {
   bool has_deadline = false;
--- a/src/controller/controller_state.hpp
+++ b/src/controller/controller_state.hpp
@@ -75,7 +75,7 @@
   // Leadership of partitions, by partition. Written by coordination::Leadership.
 
   std::vector<core::TimePoint> leader_missing_since;  // zero: the partition has a live leader
-  std::vector<core::TimePoint> leading_since;         // meaningful while `leads`
+  std::vector<core::TimePoint> leading_since;         // only meaningful while `leads` is true
 
   // Unanswered writes, by partition. Written by assignments::PlacementRecorder.
 
@@ -108,32 +108,32 @@
 
   // Leadership.
 
-  /// True if this process holds the newest leadership record in the cache.
+  /// Returns true if this process holds the newest leadership record in the cache.
   [[nodiscard]] bool holds_leadership(core::PartitionId partition) const;
-  /// True if this process holds the leadership and has read all records of earlier leaders, so that it may
-  /// decide for the partition. False while a record of the partition can't be read by this build, since such
-  /// a record must not be treated as missing.
+  /// Returns true if this process holds the leadership and has read all records of earlier leaders, so that
+  /// it may decide for the partition. Returns false while a record of the partition can't be read by this
+  /// build, since such a record must not be treated as missing.
   [[nodiscard]] bool leads(core::PartitionId partition) const;
-  /// The revision of the partition's leadership record. Every write for the partition compares it, so that a
-  /// write of an earlier leader fails ("Why the rules hold", 1).
+  /// Returns the revision of the partition's leadership record. Every write for the partition compares it, so
+  /// that a write of an earlier leader fails ("Why the rules hold", 1).
   [[nodiscard]] std::uint64_t fencing_token(core::PartitionId partition) const {
     return cache.leadership(partition).revision;
   }
 
   // Membership and record levels.
 
-  /// True if the member's process runs, as far as the key-value store knows.
+  /// Returns true if the member's process runs, as far as the key-value store knows.
   [[nodiscard]] bool is_member_alive(const std::string& label) const {
     return cache.member(label) != nullptr;
   }
-  /// True if every listed member supports records of this level. False for an empty list.
+  /// Returns true if every listed member supports records of this level; false for an empty list.
   ///
   /// Checked before a record of a new kind is accepted from a user. Unlike `all_controllers_support`, this
   /// covers the running members, this process included, whether or not the settings name them; a controller
   /// that is down does not count.
   [[nodiscard]] bool all_members_support(std::uint64_t level) const;
-  /// True if every other controller of the settings, running or not, supported this level when it was last a
-  /// member. False if no member record of one of them was ever read.
+  /// Returns true if every other controller of the settings, running or not, supported this level when it was
+  /// last a member; false if no member record of one of them was ever read.
   ///
   /// Checked before a record is changed in a way that a controller of an earlier build would permanently
   /// misread, even if it starts again only later.
@@ -141,25 +141,26 @@
 
   // Cancellations: docs/design.md, "Cancellations, and how long a lease may be renewed".
 
-  /// The time before which every cancellation that any controller has confirmed to its user is known here
-  /// (rule `ran_cancelled`). It rests on the newest read of the store, or on the answers of all other
+  /// Returns the time before which every cancellation that any controller has confirmed to its user is known
+  /// here (rule `ran_cancelled`). It rests on the newest read of the store, or on the answers of all other
   /// controllers, since each of them reports only the cancellations in its own copy.
   [[nodiscard]] core::TimePoint cancellations_known_at(core::TimePoint now) const;
-  /// True while heartbeats may be answered, which renews the leases of tasks. False too long after
-  /// `cancellations_known_at`, when a renewed task might have been cancelled through another controller and
-  /// would run longer than `cancel_s` after that.
+  /// Returns true while heartbeats may be answered, which renews the leases of tasks. Returns false too long
+  /// after `cancellations_known_at`, when a renewed task might have been cancelled through another controller
+  /// and would run longer than `cancel_s` after that.
   [[nodiscard]] bool can_renew_leases(core::TimePoint now) const;
 
   // Machines.
 
-  /// Seconds since the agent's last heartbeat to this controller. The time starts again with each term of
-  /// leadership, since heartbeats to an earlier leader are unknown here: otherwise a new leader would return
-  /// every machine of its partition as silent.
+  /// Returns the seconds since the agent's last heartbeat to this controller. The time starts again with each
+  /// term of leadership, since heartbeats to an earlier leader are unknown here: otherwise a new leader would
+  /// delete every machine of its partition as silent.
   [[nodiscard]] double seconds_since_heartbeat(const agent::Machine& machine, core::TimePoint now) const;
-  /// True if tasks may be placed on the machine: it is not being removed, its agent obeys this controller,
-  /// and its heartbeats are recent. For partitions that this controller leads.
+  /// Returns true if tasks may be placed on the machine: it is not being removed, its agent obeys this
+  /// controller, and its heartbeats are recent. Only for machines of partitions that this controller leads.
   [[nodiscard]] bool is_schedulable(const agent::Machine& machine, core::TimePoint now) const;
-  /// Resources of the tasks that may be on the machine. Tasks known to have ended are not counted.
+  /// Returns the resources of the tasks that may be on the machine. Tasks known to have ended are not
+  /// counted.
   [[nodiscard]] core::Resources allocated_on(core::MachineId id) const;
   /// Applies a heartbeat of the machine, or its answer to a direct command (`is_direct_answer`), and returns
   /// the commands for its agent. They start nothing while the state cache is stale, since the job may have
@@ -173,24 +174,24 @@
 
   // Jobs.
 
-  /// The job of this name; null if it was never accepted.
+  /// Returns the job of this name; null if it was never accepted.
   [[nodiscard]] const jobs::JobRecord* find_job(std::string_view name) const;
   /// Updates the job classes' profiles from the live jobs, and decays their earlier demand. Called once a
   /// round.
   void update_job_class_profiles();
-  /// True if objectives ask only for deadlines of the job's class, and the job meets its deadline even if it
-  /// starts later. `now_s`: seconds since 1970.
+  /// Returns true if the objectives of the job's class are all deadlines, and the job can meet its deadline
+  /// even if it starts later. `now_s`: seconds since 1970.
   [[nodiscard]] bool is_deferrable(const jobs::JobSpec& spec, double now_s) const;
 
   // Quotas and guarantees, as documented in quota_usage.hpp.
 
   [[nodiscard]] std::vector<std::vector<core::Resources>> used_by_partition() const;
-  /// `used_by_partition`, summed over the partitions.
+  /// Returns `used_by_partition`, summed over the partitions.
   [[nodiscard]] std::vector<core::Resources> used_by_team() const;
   [[nodiscard]] ledger::QuotaShares quota_shares(core::TeamId team) const;
   [[nodiscard]] std::set<core::JobId> jobs_within_guarantee() const;
-  /// Time that a job within its guarantee waits for capacity to become free before other tasks are preempted
-  /// for it.
+  /// Returns the time that a job within its guarantee waits for capacity to become free before other tasks
+  /// are preempted for it.
   [[nodiscard]] double guarantee_grace_s() const;
 };
 
--- a/src/controller/quota_usage.cpp
+++ b/src/controller/quota_usage.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-// Null if the settings don't name the job's team, which may have been removed from them.
+// Returns the job; null if the settings don't name its team, which may have been removed from them.
 const jobs::JobRecord* job_of_known_team(const config::Settings& settings, const state::StateCache& cache,
                                          core::JobId id) {
   const auto* job = cache.job(id);
   return job && job->spec.team.index < settings.teams.size() ? job : nullptr;
 }
 
-// True for a completed attempt that is also listed as not completed; both entries are the same assignment.
+// Returns true for a completed attempt that is also listed as not completed; both entries are the same
+// assignment.
 bool is_duplicate_exit(const agent::Fleet& fleet, const agent::ObservedExit& exit) {
   return exit.done &&
          fleet.observed_exits.contains({exit.job, exit.partition, exit.task, exit.attempt, false});
@@ -49,13 +50,13 @@
                                                             const agent::Fleet& fleet) {
   std::vector<std::vector<core::Resources>> used(cache.partitions(),
                                                  std::vector<core::Resources>(settings.teams.size()));
-  cache.for_each_assignments(
-      [&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
-        const auto* job = run.assignments.empty() ? nullptr : job_of_known_team(settings, cache, id);
-        if (!job) return;
-        used[partition.index][job->spec.team.index] +=
-            job->spec.need * static_cast<double>(run.assignments.size());
-      });
+  cache.for_each_assignments([&](core::JobId id, core::PartitionId partition,
+                                 const jobs::JobAssignments& job_assignments) {
+    const auto* job = job_assignments.assignments.empty() ? nullptr : job_of_known_team(settings, cache, id);
+    if (!job) return;
+    used[partition.index][job->spec.team.index] +=
+        job->spec.need * static_cast<double>(job_assignments.assignments.size());
+  });
   for (const auto& exit : fleet.observed_exits) {
     if (is_duplicate_exit(fleet, exit)) continue;
     const auto* job = job_of_known_team(settings, cache, exit.job);
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -13,7 +13,7 @@
 
 using controller::ControllerState;
 
-// Allowed zones in which one task fits on an allowed machine type.
+// Returns the allowed zones in which one task fits on an allowed machine type.
 std::set<std::string> feasible_zones(const ControllerState& state, const wire::Submission& submission) {
   std::set<std::string> zones;
   const auto& types = submission.allowed_types;
@@ -26,7 +26,7 @@
   return zones;
 }
 
-// Names the longer of the two fields that can make a record exceed the store's value limit.
+// Returns the reason for the longer of the two fields that can make a record exceed the store's value limit.
 InfeasibleReason record_too_long_reason(const wire::Submission& submission) {
   std::size_t types_bytes = 0;
   if (submission.allowed_types)
--- a/src/gateway/admission.hpp
+++ b/src/gateway/admission.hpp
@@ -20,15 +20,15 @@
   single_zone_with_spread,   ///< requests both a single zone and several zones
   spread_needs_second_zone,  ///< requests several zones, but its tasks fit in one only
   gang_too_large,            ///< one transaction can't record the assignments of all of its tasks
-  types_too_long,            ///< the record exceeds the store's value limit, mostly because of the types
-  image_too_long,            ///< the record exceeds the store's value limit, mostly because of the image name
+  types_too_long,  ///< the record exceeds the store's value limit, mostly because of the allowed types
+  image_too_long,  ///< the record exceeds the store's value limit, mostly because of the image name
 };
-/// The error text for the user.
+/// Returns the error text for the user.
 std::string_view error_text(InfeasibleReason reason);
 
 /// The job was accepted before. The answer is its state, so that submissions are idempotent.
 struct AlreadyAccepted {};
-/// The job can never run, as far as this controller's copy of the state shows.
+/// The job can never run, according to this controller's settings, machine types and state.
 struct Infeasible {
   InfeasibleReason reason;
 };
@@ -44,7 +44,8 @@
 };
 using Admission = std::variant<AlreadyAccepted, Infeasible, NotReady, AwaitingUpgrade, Admitted>;
 
-/// The reason why the deployment can never run the job; empty if it can. `state` must have the machine types.
+/// Returns the reason why the deployment can never run the job; empty if it can. `state` must have the
+/// machine types.
 std::optional<InfeasibleReason> infeasible_reason(const controller::ControllerState& state,
                                                   const wire::Submission& submission);
 
--- a/src/gateway/agent_commands.cpp
+++ b/src/gateway/agent_commands.cpp
@@ -10,7 +10,7 @@
 using controller::ControllerState;
 
 constexpr auto kCommandTimeout = 3000ms;
-constexpr double kProbeIntervalS = 0.3;
+constexpr double kProbeRoundIntervalS = 0.3;
 
 // The endpoint of an agent, with the fencing token and the incarnation that commands to it carry.
 struct AgentAddress {
@@ -18,7 +18,7 @@
   std::uint64_t fencing_token = 0, agent_incarnation = 0;
 };
 
-// Empty if this controller doesn't lead the machine's partition.
+// Returns the address of the machine's agent; empty if this controller doesn't lead the machine's partition.
 std::optional<AgentAddress> address_of(const ControllerState& state, core::MachineId id) {
   const auto* machine = state.fleet.find(id);
   if (!machine || !state.leads(machine->partition)) return std::nullopt;
@@ -99,7 +99,7 @@
 
 asio::awaitable<void> AgentCommands::run_probes() {
   while (true) {
-    co_await runtime_.sleep(kProbeIntervalS);
+    co_await runtime_.sleep(kProbeRoundIntervalS);
     const auto now = core::SteadyClock::now();
     const auto machines = state_.with([&](ControllerState& state) {
       auto due = machines_to_probe(state, now);
--- a/src/gateway/agent_gateway.cpp
+++ b/src/gateway/agent_gateway.cpp
@@ -29,7 +29,7 @@
   http::Response operator()(const MachineDeleted&) const { return retry_later("machine was returned"); }
 };
 
-// Updates the machine's type, zone and partition from the heartbeat.
+// Updates the machine's type, zone, partition and spot flag from the heartbeat.
 agent::Machine& update_machine(ControllerState& state, const wire::Heartbeat& heartbeat,
                                core::PartitionId partition, core::TimePoint now) {
   auto& machine = state.fleet.mark_seen(state.names, heartbeat.machine, now);
--- a/src/gateway/agent_gateway.hpp
+++ b/src/gateway/agent_gateway.hpp
@@ -30,8 +30,8 @@
   http::Response handle_heartbeat(const std::string& body);
 
  private:
-  // The peer to relay a heartbeat to: the leader of the machine's partition, if the agent seems unable to
-  // reach it. Empty if the agent should be redirected.
+  // Returns the peer to relay a heartbeat to: the leader of the machine's partition, if the agent seems
+  // unable to reach it. Empty if the agent should be redirected.
   std::optional<std::size_t> peer_to_relay_to(const std::string& body);
 
   controller::SharedState& state_;
--- a/src/gateway/cancelled_task_stopper.cpp
+++ b/src/gateway/cancelled_task_stopper.cpp
@@ -9,9 +9,9 @@
 using controller::ControllerState;
 
 asio::awaitable<void> CancelledTaskStopper::run() {
-  constexpr double kRoundS = 0.2;
+  constexpr double kRoundIntervalS = 0.2;
   while (true) {
-    co_await runtime_.sleep(kRoundS);
+    co_await runtime_.sleep(kRoundIntervalS);
     auto stops = state_.with([&](ControllerState& state) {
       auto due = take_due_stops(state, in_flight_.count(), core::SteadyClock::now(),
                                 [this](double seconds) { return runtime_.jitter(seconds); });
@@ -26,7 +26,7 @@
 
 asio::awaitable<void> CancelledTaskStopper::stop(core::MachineId machine,
                                                  std::vector<wire::Command> commands) {
-  const auto counted = in_flight_.acquire();
+  const auto slot = in_flight_.acquire();
   std::vector<agent::TaskAttempt> no_starts;
   co_await commands_.send(machine, std::move(commands), std::move(no_starts));
 }
--- a/src/gateway/direct_commands.cpp
+++ b/src/gateway/direct_commands.cpp
@@ -18,22 +18,24 @@
 // token, since nothing can be proved about the machine's tasks before.
 constexpr double kProbeIntervalS = 5, kUrgentProbeIntervalS = 2.5;
 
-// A leader that can't connect to its agents still gets their heartbeats through relays. Without this pause,
-// each direct start stayed unanswered and needed a new fencing token to make it void, every eleven seconds
-// while the network was partitioned. Tasks are started by the answers to heartbeats meanwhile.
+// Returns true for a while after a direct command got no answer. A leader that can't connect to its agents
+// still gets their heartbeats through relays. Without this pause, each direct start stayed unanswered and
+// needed a new fencing token to make it void, every eleven seconds while the network was partitioned. Tasks
+// are started by the answers to heartbeats meanwhile.
 bool direct_starts_suspended(const agent::Machine& machine, core::TimePoint now) {
   constexpr double kSuspendDirectStartsS = 20;
   return machine.direct_command_failed_at &&
          core::seconds_between(*machine.direct_command_failed_at, now) < kSuspendDirectStartsS;
 }
 
-// True if the machine's partition is led here, its agent's address is known, and it is not being deleted.
+// Returns true if the machine's partition is led here, its agent's address is known, and it is not being
+// deleted.
 bool can_be_probed(const ControllerState& state, const agent::Machine& machine) {
   return machine.partition.valid() && state.leads(machine.partition) && !machine.endpoint.empty() &&
          !machine.terminating && !machine.deleted;
 }
 
-// True if the start is recorded for the agent's current incarnation, and its job is live.
+// Returns true if the start is recorded for the agent's current incarnation, and its job is live.
 bool is_still_valid(const ControllerState& state, const agent::Machine& machine,
                     const agent::TaskAttempt& start) {
   const auto [job, task, attempt] = start;
--- a/src/gateway/due_stops.cpp
+++ b/src/gateway/due_stops.cpp
@@ -15,7 +15,8 @@
   return std::min(kMaxBackoffS, kInitialBackoffS * (1 << std::min(attempts, kMaxDoublings)));
 }
 
-// True if the task may run on a machine whose agent is known, so that a stop command can be sent to it.
+// Returns true if the task may run on a machine whose agent is known, so that a stop command can be sent to
+// it.
 bool may_run(const ControllerState& state, core::JobId job, core::PartitionId partition,
              const jobs::TaskAssignment& assignment) {
   const auto* machine = state.fleet.find(assignment.machine);
@@ -43,11 +44,12 @@
   std::erase_if(state.fleet.stop_retries,
                 [&](const auto& item) { return !cancelled.contains(std::get<core::JobId>(item.first)); });
   for (const auto job : cancelled)
-    state.cache.for_each_assignments(job, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
-      if (!state.leads(partition)) return;
-      for (const auto& assignment : run.assignments)
-        if (may_run(state, job, partition, assignment)) add_if_due(job, assignment);
-    });
+    state.cache.for_each_assignments(
+        job, [&](core::PartitionId partition, const jobs::JobAssignments& job_assignments) {
+          if (!state.leads(partition)) return;
+          for (const auto& assignment : job_assignments.assignments)
+            if (may_run(state, job, partition, assignment)) add_if_due(job, assignment);
+        });
   return stops;
 }
 
--- a/src/gateway/heartbeat_routing.cpp
+++ b/src/gateway/heartbeat_routing.cpp
@@ -34,7 +34,7 @@
   if (core::seconds_between(machine.redirected_at, now) < return_window_s)
     return Forwarding::relay_after_redirect;
   // An agent that obeys the leader's fencing token but contacts this controller can't reach the leader any
-  // more. After a redirect it would wait for a second timeout, during which a lease of 10 s expired. An agent
+  // more. After a redirect it would wait for a second timeout, during which a lease of 10 s expires. An agent
   // that learned the token only from a direct command may reach the leader, so after a relayed heartbeat the
   // next one is redirected.
   const bool knows_leader_token = heartbeat.fencing_token >= leader_token;
--- a/src/gateway/heartbeat_routing.hpp
+++ b/src/gateway/heartbeat_routing.hpp
@@ -9,7 +9,7 @@
 
 namespace finchrun::gateway {
 
-/// The partition of the heartbeat's machine; empty for a machine outside the deployment's zones.
+/// Returns the partition of the heartbeat's machine; empty for a machine outside the deployment's zones.
 std::optional<core::PartitionId> partition_of(const controller::ControllerState& state,
                                               const wire::Heartbeat& heartbeat);
 
@@ -24,8 +24,8 @@
 using HeartbeatRefusal =
     std::variant<OutsideDeployment, LedElsewhere, NoLeader, CancellationsUnknown, MachineDeleted>;
 
-/// Empty if this controller leads `partition`, which is `partition_of` the heartbeat, and may answer the
-/// agent.
+/// Returns the reason why this controller must not answer the heartbeat; empty if it leads `partition`, which
+/// is `partition_of` the heartbeat, and may answer the agent.
 std::optional<HeartbeatRefusal> find_refusal(const controller::ControllerState& state,
                                              const wire::Heartbeat& heartbeat,
                                              std::optional<core::PartitionId> partition, core::TimePoint now);
@@ -37,7 +37,8 @@
   relay_without_redirect,  ///< relayed, because the agent knows the leader's token but contacted this
                            ///< controller
 };
-/// `machine`: its state before this heartbeat; `leader_token`: the fencing token of the partition's leader.
+/// Decides how to forward the heartbeat. `machine`: its state before this heartbeat; `leader_token`: the
+/// fencing token of the partition's leader.
 Forwarding decide_forwarding(const agent::Machine& machine, const wire::Heartbeat& heartbeat,
                              std::uint64_t leader_token, double heartbeat_interval_s, core::TimePoint now);
 
--- a/src/gateway/job_api.cpp
+++ b/src/gateway/job_api.cpp
@@ -23,7 +23,7 @@
 
 // With an older state cache and no peer in touch with the store, requests are refused at once.
 constexpr double kMaxStateAgeS = 2.0;
-// Readiness: maximum age of the state cache, and of the last message from a peer.
+// For readiness: the maximum age of the state cache and of the last answer of a peer.
 constexpr double kMaxReadyStateAgeS = 3.0, kMaxReadyPeerAgeS = 4.0;
 // Longer than the usual second, since an upgrade of all controllers takes a while.
 constexpr int kUpgradeRetryAfterS = 5;
@@ -70,7 +70,7 @@
   return !peers_.find_peer_with_fresh_state() && !(isolated && !peers_.empty());
 }
 
-// True if neither this controller nor a peer reaches the store. Requests are then refused at once.
+// Returns true if neither this controller nor a peer reaches the store. Requests are then refused at once.
 bool JobApi::is_store_unreachable() {
   const auto now = core::SteadyClock::now();
   const bool stale = state_.with([&](ControllerState& state) {
@@ -82,18 +82,18 @@
 asio::awaitable<http::Response> JobApi::query(std::string id) {
   // A final state can't change any more, so it is answered from the cache.
   const auto final_id = state_.with([&](ControllerState& state) -> std::optional<core::JobId> {
-    const auto known = state.names.jobs.find(id);
-    if (!known) return std::nullopt;
-    const auto* job = state.cache.job(*known);
-    return job && job->status != jobs::Status::live ? known : std::nullopt;
+    const auto known_id = state.names.jobs.find(id);
+    if (!known_id) return std::nullopt;
+    const auto* job = state.cache.job(*known_id);
+    return job && job->status != jobs::Status::live ? known_id : std::nullopt;
   });
   if (final_id) co_return status_of(*final_id);
   if (is_store_unreachable()) co_return retry_later(kStoreUnreachableText);
   if (!co_await follower_.linearizable_read(core::SteadyClock::now() + kReadTimeout))
     co_return retry_later(kStateUnknownText);
-  const auto known = state_.with([&](ControllerState& state) { return state.names.jobs.find(id); });
-  if (!known) co_return error_response(http::status::kNotFound, kNoSuchJobText);
-  co_return status_of(*known);
+  const auto known_id = state_.with([&](ControllerState& state) { return state.names.jobs.find(id); });
+  if (!known_id) co_return error_response(http::status::kNotFound, kNoSuchJobText);
+  co_return status_of(*known_id);
 }
 
 asio::awaitable<http::Response> JobApi::submit(std::string body) {
@@ -152,7 +152,7 @@
   const auto deadline = core::SteadyClock::now() + kCancelTimeout;
   for (int attempt = 0; attempt < kMaxCancelAttempts && core::SteadyClock::now() < deadline; ++attempt) {
     auto decision = state_.with([&](ControllerState& state) { return decide_cancellation(state, id); });
-    if (const auto* over = std::get_if<AlreadyFinished>(&decision)) co_return status_of(over->job);
+    if (const auto* finished = std::get_if<AlreadyFinished>(&decision)) co_return status_of(finished->job);
     if (is_store_unreachable()) co_return retry_later(kStoreUnreachableText);
     auto* cancellable = std::get_if<Cancellable>(&decision);
     if (cancellable) {
@@ -167,7 +167,8 @@
       }
       if (result.outcome == CommitStatus::refused) co_return retry_later("state service refuses");
     }
-    // The record has changed, the commit got no answer, or the job is unknown here. Retries after a read.
+    // The record has changed, the commit got no answer, or the job is unknown here. The loop retries after a
+    // read.
     if (!co_await follower_.linearizable_read(deadline)) co_return retry_later(kStateUnknownText);
     if (std::holds_alternative<UnknownJob>(decision) && !job_exists(id))
       co_return error_response(http::status::kNotFound, kNoSuchJobText);
--- a/src/gateway/job_api.hpp
+++ b/src/gateway/job_api.hpp
@@ -38,7 +38,7 @@
   /// its state. After an answer of 200 no task of the job starts (rule `ran_cancelled`). 404: no such job;
   /// 503: not decided, and the job may or may not be cancelled.
   asio::awaitable<http::Response> cancel(std::string id);
-  /// True if the load balancer should send users to this controller.
+  /// Returns true if the load balancer should send users to this controller.
   [[nodiscard]] bool is_ready();
 
  private:
--- a/src/gateway/responses.hpp
+++ b/src/gateway/responses.hpp
@@ -1,4 +1,4 @@
-// Error responses.
+// Builds error responses.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
   return {status, wire::render_error(reason), retry_after_s};
 }
 
-/// 503 with Retry-After: the request was not carried out and may be repeated.
+/// Returns 503 with Retry-After: the request was not carried out and may be repeated.
 inline http::Response retry_later(std::string_view reason, int retry_after_s = 1) {
   return error_response(http::status::kServiceUnavailable, reason, retry_after_s);
 }
--- a/src/wire/field_reader.hpp
+++ b/src/wire/field_reader.hpp
@@ -10,14 +10,16 @@
 
 namespace finchrun::wire {
 
-/// A field that violates the protocol. The text names the reason and the field, and is sent to the sender.
+/// A field that violates the protocol. The text names the reason and the field, and is returned to the
+/// sender.
 struct InvalidField {
   std::string reason;
 };
 
-/// The field's value; throws if it is missing.
+/// Returns the field's value; throws if it is missing.
 const boost::json::value& required(const boost::json::object& message, const char* key);
-/// Null if the field is null or missing: any field that may be null may also be left out.
+/// Returns the field's value; null if the field is null or missing: any field that may be null may also be
+/// left out.
 const boost::json::value* optional_field(const boost::json::object& message, const char* key);
 
 /// Accepts 1 to 200 bytes.
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -22,11 +22,11 @@
 };
 /// A message that violates the protocol.
 struct Malformed {
-  std::string reason;  ///< the reason and the first invalid field, sent to the sender
+  std::string reason;  ///< the reason and the first invalid field, returned to the sender
 };
 /// A field that may be null may also be left out; unknown fields are ignored.
 std::variant<Submission, Malformed> parse_submission(const std::string& body);
-/// True for "req-" followed by 1 to 20 digits.
+/// Returns true for "req-" followed by 1 to 20 digits.
 bool is_valid_job_id(std::string_view id);
 
 /// State of a task on its machine. `other`: a state that this version does not know.
@@ -78,19 +78,22 @@
 };
 /// Maximum number of commands in one response, whose lines must not exceed 64 KiB.
 inline constexpr std::size_t kMaxCommands = 400;
-/// The answer to a heartbeat. The agent obeys the highest fencing token that it has seen, and no lower one.
+/// Renders the answer to a heartbeat. The agent obeys the highest fencing token that it has seen, and no
+/// lower one.
 std::string render_commands(std::uint64_t fencing_token, const std::vector<Command>& commands);
-/// Commands sent directly to an agent, valid only for this incarnation of it.
+/// Renders commands sent directly to an agent, valid only for this incarnation of it.
 std::string render_direct_commands(std::uint64_t fencing_token, std::uint64_t agent_incarnation,
                                    const std::vector<Command>& commands);
-/// Redirects an agent to the leader of its partition, given by its label; empty if the leader is unknown.
+/// Renders the redirect of an agent to the leader of its partition, given by its label. `leader` is empty if
+/// the leader is unknown.
 std::string render_redirect(const std::optional<std::string>& leader);
 
-/// The state of a job for its user. The overload without counts is for newly accepted and cancelled jobs.
+/// Renders the state of a job for its user. The overload without counts is for newly accepted and cancelled
+/// jobs.
 std::string render_status(const std::string& id, const char* status);
 std::string render_status(const std::string& id, const char* status, std::uint32_t done,
                           std::uint32_t running);
-/// The reason why a request was not carried out.
+/// Renders the reason why a request was not carried out.
 std::string render_error(std::string_view reason);
 
 }  // namespace finchrun::wire
--- a/tests/agent/heartbeat_handler_test.cpp
+++ b/tests/agent/heartbeat_handler_test.cpp
@@ -36,10 +36,11 @@
     return names;
   }
   void set_assignments(std::vector<jobs::TaskAssignment> assignments, std::uint64_t revision) {
-    jobs::JobAssignments run;
-    run.assignments = std::move(assignments);
-    cache.apply(
-        {"runs/a.0/0", json::object{{"jobs", json::object{{"req-1", jobs::to_json(run, names)}}}}, revision});
+    jobs::JobAssignments job_assignments;
+    job_assignments.assignments = std::move(assignments);
+    cache.apply({"runs/a.0/0",
+                 json::object{{"jobs", json::object{{"req-1", jobs::to_json(job_assignments, names)}}}},
+                 revision});
   }
   void cancel() {
     jobs::JobRecord record = *cache.job(core::JobId{0});
--- a/tests/agent/machine_test.cpp
+++ b/tests/agent/machine_test.cpp
@@ -30,7 +30,7 @@
   machine.mark_unreachable(at(100));
   machine.mark_unreachable(at(130));
   EXPECT_EQ(machine.unreachable_since, at(100));
-  EXPECT_EQ(machine.unreachable_in_incarnation, at(130));
+  EXPECT_EQ(machine.last_marked_unreachable, at(130));
   machine.mark_reachable();
   EXPECT_FALSE(machine.is_unreachable());
 }
--- a/tests/controller/quota_usage_test.cpp
+++ b/tests/controller/quota_usage_test.cpp
@@ -87,7 +87,7 @@
         GuaranteeCase{"no_guarantee", {"red", 0, 8, 0, 8}, {{1}, {1}, {1}}, {false, false, false}},
         GuaranteeCase{"processors", {"red", 8, 0, 0, 0}, {{2}, {2}, {1}}, {true, true, false}},
         GuaranteeCase{"accelerators", {"red", 0, 0, 4, 0}, {{9, 1}, {9, 1}, {9, 0}}, {true, true, true}},
-        GuaranteeCase{"job_beyond_it_counts_against_later_ones",
+        GuaranteeCase{"job_beyond_guarantee_counts_against_later_jobs",
                       {"red", 0, 0, 4, 0},
                       {{0, 1}, {0, 4}, {0, 1}},
                       {true, false, false}},
--- a/tests/gateway/admission_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -12,7 +12,7 @@
 const core::TimePoint kNow{core::to_duration(1000)};
 constexpr double kWallS = 1.7e9;
 
-config::Settings two_zones() {
+config::Settings two_zone_settings() {
   config::Settings settings;
   settings.label = "perch-0";
   settings.zone = "a";
@@ -32,14 +32,14 @@
 // Two zones. `g8` is offered in both, `c16` only in zone a. The limit of team vision is 32 processors and 8
 // accelerators.
 struct Deployment {
-  Deployment() : state(two_zones(), {}) {
+  Deployment() : state(two_zone_settings(), {}) {
     state.cache_loaded = true;
     state.fleet.machine_types = {machine_type("g8", {16, 8, 128}, {"a", "b"}),
                                  machine_type("c16", {16, 0, 64}, {"a"})};
     for (const auto& type : state.fleet.machine_types)
       state.fleet.machine_type_ids.push_back(state.names.types.intern(type.name));
   }
-  void member(const char* label, const char* record) {
+  void add_member(const char* label, const char* record) {
     state.cache.apply({std::string("members/") + label, boost::json::parse(record), ++revision});
   }
   void record_job(const wire::Submission& submission, jobs::Status status) {
@@ -120,7 +120,7 @@
                                      submission.spec.single_zone = submission.spec.spread = true;
                                    },
                                    InfeasibleReason::single_zone_with_spread},
-                    InfeasibleCase{"array_may_ask_for_both",
+                    InfeasibleCase{"array_in_one_zone_and_spread",
                                    [](Submission& submission) {
                                      submission.spec.single_zone = submission.spec.spread = true;
                                    },
@@ -197,11 +197,11 @@
   service.spec.shape = jobs::Shape::service;
   service.spec.expected_run_s = jobs::kUnlimitedRunTimeS;
   Deployment deployment;
-  deployment.member("perch-0", R"({"inc":1,"level":1})");
-  deployment.member("perch-1", R"({"inc":2})");
+  deployment.add_member("perch-0", R"({"inc":1,"level":1})");
+  deployment.add_member("perch-1", R"({"inc":2})");
   EXPECT_TRUE(
       std::holds_alternative<AwaitingUpgrade>(decide_admission(deployment.state, service, kNow, kWallS)));
-  deployment.member("perch-1", R"({"inc":3,"level":1})");
+  deployment.add_member("perch-1", R"({"inc":3,"level":1})");
   EXPECT_TRUE(std::holds_alternative<Admitted>(decide_admission(deployment.state, service, kNow, kWallS)));
 }
 
--- a/tests/gateway/agent_decisions_test.cpp
+++ b/tests/gateway/agent_decisions_test.cpp
@@ -42,9 +42,9 @@
     return &added;
   }
   void assign(core::JobId id, std::vector<jobs::TaskAssignment> assigned) {
-    jobs::JobAssignments run;
-    run.assignments = std::move(assigned);
-    boost::json::object stored{{state.names.jobs.name(id), jobs::to_json(run, state.names)}};
+    jobs::JobAssignments job_assignments;
+    job_assignments.assignments = std::move(assigned);
+    boost::json::object stored{{state.names.jobs.name(id), jobs::to_json(job_assignments, state.names)}};
     state.cache.apply({"runs/a.0/0", boost::json::object{{"jobs", std::move(stored)}}, ++revision});
   }
   void cancel() {
@@ -249,14 +249,14 @@
   EXPECT_EQ(take_due_stops(leader.state, kMaxStopsInFlight - 1, kNow, without_jitter).size(), 1u);
 }
 
-TEST(InFlight, CountsUntilTheTokenIsDestroyed) {
+TEST(InFlight, CountsUntilTheSlotIsDestroyed) {
   auto counter = std::make_unique<core::InFlightCounter>();
   {
     const auto first = counter->acquire();
     EXPECT_EQ(counter->count(), 1u);
   }
   EXPECT_EQ(counter->count(), 0u);
-  const auto outliving_token = counter->acquire();
+  const auto outliving_slot = counter->acquire();
   counter.reset();
 }
 
