--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -13,7 +13,7 @@
 
 using controller::ControllerState;
 
-// Allowed zones in which one task fits on an allowed machine type.
+// Returns the allowed zones in which one task fits on an allowed machine type.
 std::set<std::string> feasible_zones(const ControllerState& state, const wire::Submission& submission) {
   std::set<std::string> zones;
   const auto& types = submission.allowed_types;
@@ -26,7 +26,7 @@
   return zones;
 }
 
-// Names the longer of the two fields that can make a record exceed the store's value limit.
+// Returns the reason for the longer of the two fields that can make a record exceed the store's value limit.
 InfeasibleReason record_too_long_reason(const wire::Submission& submission) {
   std::size_t types_bytes = 0;
   if (submission.allowed_types)
@@ -67,11 +67,11 @@
     case InfeasibleReason::over_team_limit:
       return "the job needs more than its team's limit";
     case InfeasibleReason::single_zone_with_spread:
-      return "together and scatter are mutually exclusive";
+      return "together and scatter exclude each other";
     case InfeasibleReason::spread_needs_second_zone:
-      return "scatter needs a second zone in which a task fits an allowed machine type";
+      return "scatter needs a second zone that allows its tasks";
     case InfeasibleReason::gang_too_large:
-      return "pieces: too many tasks for a gang to be recorded at once";
+      return "pieces: more than can be recorded to start together";
     case InfeasibleReason::types_too_long:
       return "racks: too long to be recorded";
     case InfeasibleReason::image_too_long:
