--- a/src/assignments/assignment_writer.cpp
+++ b/src/assignments/assignment_writer.cpp
@@ -8,7 +8,7 @@
 
 // Fraction of the value limit that the assignments of a large job may fill in one shard.
 constexpr double kLargeJobValueShare = 0.9;
-// Assignments by which a shard may hold less than the room that it was chosen for.
+// A shard may take this many assignments fewer than would fill the room that it was chosen for.
 constexpr std::size_t kSpareAssignments = 2;
 
 // Reserves one write for the tombstone list.
@@ -117,9 +117,9 @@
     }
     const auto& name = state_.cache.shard(recorded.shard).name;
     if (shards_.contains(name)) continue;  // counted above, as the transaction will write it
-    auto run = recorded.job_assignments;
-    tombstones_.apply_to(name, job, run);
-    done += run.done.size();
+    auto job_assignments = recorded.job_assignments;
+    tombstones_.apply_to(name, job, job_assignments);
+    done += job_assignments.done.size();
   }
   return done;
 }
--- a/src/assignments/assignment_writer.hpp
+++ b/src/assignments/assignment_writer.hpp
@@ -1,4 +1,5 @@
-// Changes to one partition's records: the changes of several jobs share few keys of one transaction.
+// Plans changes to one partition's records, so that the changes of several jobs need few keys of one
+// transaction.
 #pragma once
 
 #include <string>
@@ -31,21 +32,22 @@
   /// Adds the assignments to shards that have room. Returns false, and adds none, if that would change too
   /// many shards.
   bool add(core::JobId job, const std::vector<jobs::TaskAssignment>& assignments);
-  /// The number of assignments of one job that always fit into a transaction of their own.
+  /// Returns the number of assignments of one job that always fit into a transaction of their own.
   static std::size_t max_assignments(const config::StoreLimits& limits);
-  /// Plans one step of ShardShrinker. The writer must do nothing else.
+  /// Plans one step of ShardShrinker. The writer must not plan anything else.
   bool shrink();
-  /// The shard is within the value limit.
+  /// Returns true if the shard is within the value limit.
   [[nodiscard]] bool is_within_limit(core::ShardId shard) const { return shards_.is_within_limit(shard); }
-  /// The stored tombstone list is over the value limit.
+  /// Returns true if the stored tombstone list is over the value limit.
   [[nodiscard]] bool tombstones_exceed_limit() const { return tombstones_.exceeds_limit(); }
   /// Removes the exit's assignment from the records and marks completed tasks as done: in the shard if this
   /// transaction writes it anyway, otherwise in the tombstone list. Idempotent. Returns false if this
   /// transaction has no room for the exit.
   bool record_exit(const agent::ObservedExit& exit);
-  /// Done tasks of the job over all partitions, including those that this writer has marked.
+  /// Returns the number of done tasks of the job in all partitions, including those that this writer has
+  /// marked.
   [[nodiscard]] std::uint32_t done_tasks(core::JobId job) const;
-  /// The number of keys that the transaction writes.
+  /// Returns the number of keys that the transaction writes.
   [[nodiscard]] std::size_t written_key_count() const {
     return shards_.size() + (tombstones_.changed() ? 1 : 0);
   }
--- a/src/assignments/commit_refusal.hpp
+++ b/src/assignments/commit_refusal.hpp
@@ -10,11 +10,12 @@
 
 namespace finchrun::assignments {
 
-/// Conflicts are expected with several writers (info). A malformed transaction is a bug of the controller
-/// (error). An on-call engineer may want to look at all others (warning).
+/// Returns the log level for the status. Conflicts are expected with several writers (info). A malformed
+/// transaction is a bug of the controller (error). An on-call engineer may want to look at all others
+/// (warning).
 spdlog::level::level_enum refusal_level(state::CommitStatus status);
-/// "<event> partition=... reason=... failed_key=...", with the key of the first compare that failed ("-" if
-/// unknown).
+/// Returns "<event> partition=... reason=... failed_key=...", with the key of the first compare that failed
+/// ("-" if unknown).
 std::string refusal_line(std::string_view event, std::string_view partition,
                          const state::CommitResult& result);
 /// Logs `refusal_line` at `refusal_level`.
--- a/src/assignments/exit_plan.cpp
+++ b/src/assignments/exit_plan.cpp
@@ -14,7 +14,7 @@
 // Compares of the fencing token and the job's record.
 constexpr std::size_t kComparesPerJob = 2;
 
-// All values of the partition's records are within the value limit.
+// Returns true if all values of the partition's records are within the value limit.
 bool records_within_limits(const ControllerState& state, core::PartitionId partition) {
   const AssignmentWriter writer(state, partition);
   const auto shards = state.cache.shards(partition);
@@ -37,7 +37,7 @@
   return with_done_tasks;
 }
 
-// All tasks of the live job are done. A service never completes.
+// Returns true if the job is live and all of its tasks are done. A service never completes.
 bool is_complete(const ControllerState& state, const AssignmentWriter& writer, core::JobId id) {
   const auto* job = state.cache.job(id);
   return job && job->status == jobs::Status::live && !job->spec.is_service() &&
--- a/src/assignments/exit_plan.hpp
+++ b/src/assignments/exit_plan.hpp
@@ -5,7 +5,7 @@
 
 namespace finchrun::assignments {
 
-/// The record of the job once it is complete: with its specification, without its task ranges.
+/// Returns the record of the job once it is complete: with its specification, without its task ranges.
 jobs::JobRecord completed_record(const jobs::JobRecord& job);
 
 /// Plans one step of shrinking the partition's records, which may have been written under larger limits, to
@@ -13,13 +13,13 @@
 /// step fits into one transaction.
 PlannedTransaction plan_shrink(const ControllerState& state, core::PartitionId partition);
 
-/// Records as many of the partition's observed exits as fit into one transaction, and the completion of jobs
-/// without tasks left, also of those that no earlier transaction recorded. The next transaction does the
-/// rest.
+/// Plans to record as many of the partition's observed exits as fit into one transaction, and the completion
+/// of jobs whose tasks are all done, including jobs whose last exits an earlier transaction recorded. The
+/// next transaction does the rest.
 PlannedTransaction plan_exits(const ControllerState& state, core::PartitionId partition);
 
-/// The partition's next transaction. Shrinking comes first, since a shard over the limit can take neither an
-/// exit nor a placement. Has no writes if there is nothing to do.
+/// Plans the partition's next transaction. Shrinking comes first, since a shard over the limit can take
+/// neither an exit nor a placement. Has no writes if there is nothing to do.
 PlannedTransaction plan_next_transaction(const ControllerState& state, core::PartitionId partition);
 
 }  // namespace finchrun::assignments
--- a/src/assignments/open_shards.cpp
+++ b/src/assignments/open_shards.cpp
@@ -78,7 +78,7 @@
   return open(stored.empty() ? unused_name() : stored);
 }
 
-// An open shard, preferably one that has the job already, since it is written anyway.
+// Returns an open shard with room, preferably one that has the job already, since it is written anyway.
 OpenShard* OpenShards::find_open_with_room(core::JobId job, std::size_t bytes) {
   OpenShard* best = nullptr;
   for (auto& [name, shard] : shards_) {
@@ -88,8 +88,8 @@
   return best;
 }
 
-// The stored shard with the most tombstones, since writing it shortens the list; among equals the fullest
-// one, so that new assignments stay together. Empty if no shard has room.
+// Returns the stored shard with room that has the most tombstones, since writing it shortens the list; among
+// equals the fullest one, so that new assignments stay together. Empty if no shard has room.
 std::string OpenShards::find_stored_with_room(core::JobId job, std::size_t bytes) const {
   std::string choice;
   std::pair<std::size_t, std::size_t> best{0, 0};  // tombstones, bytes
--- a/src/assignments/open_shards.hpp
+++ b/src/assignments/open_shards.hpp
@@ -28,21 +28,22 @@
   [[nodiscard]] bool empty() const { return shards_.empty(); }
   [[nodiscard]] std::size_t size() const { return shards_.size(); }
   [[nodiscard]] bool contains(const std::string& name) const { return shards_.contains(name); }
-  /// The shard if it is open, otherwise null.
+  /// Returns the shard if it is open, otherwise null.
   [[nodiscard]] OpenShard* find(const std::string& name);
   /// Opens the shard. Returns null if too many are open, or if it is over the limit and must be split first.
   OpenShard* open(const std::string& name);
-  /// Returns an open shard with room for this many bytes of the job, or opens a stored or new one. Null if
-  /// too many are open.
+  /// Returns an open shard with room for this many bytes of the job, or opens a stored or new one. Returns
+  /// null if too many are open.
   OpenShard* open_with_room(core::JobId job, std::size_t bytes);
-  /// The stored contents of the shard with its tombstones applied.
+  /// Returns the stored contents of the shard with its tombstones applied, without finished jobs that have no
+  /// assignments left.
   [[nodiscard]] ShardContents contents(core::ShardId shard) const;
-  /// The shard is within the value limit.
+  /// Returns true if the shard is within the value limit.
   [[nodiscard]] bool is_within_limit(core::ShardId shard) const;
   /// Opens the stored shard with the first of the contents, and a new shard with each of the others. Does not
   /// count their sizes, so the transaction must do nothing else.
   void replace(core::ShardId shard, std::vector<ShardContents> contents);
-  /// Done tasks of the job in the open shards.
+  /// Returns the number of done tasks of the job in the open shards.
   [[nodiscard]] std::uint32_t done_tasks(core::JobId job) const;
 
   /// Adds the writes of the shards, each on condition that the shard has not been written since.
--- a/src/assignments/placement_plan.cpp
+++ b/src/assignments/placement_plan.cpp
@@ -11,7 +11,7 @@
 // Compares of the fencing token, the fence, one more shard, the job's record and its team's record.
 constexpr std::size_t kComparesPerPlacement = 5;
 
-// Empty if one of the machines is gone or terminating.
+// Returns nullopt if one of the machines is deleted or terminating.
 std::optional<std::vector<jobs::TaskAssignment>> assignments_for(const ControllerState& state,
                                                                  const PlannedPlacement& placement,
                                                                  std::uint64_t attempt) {
@@ -26,9 +26,10 @@
 
 void require_job_and_quota(const ControllerState& state, core::JobId id, PlannedTransaction& transaction) {
   const auto& job = *state.cache.job(id);
-  // Fails the start of tasks whose job has ended or whose range has moved.
+  // The transaction fails if the job has ended or its ranges have moved.
   transaction.require_revision(state::keys::job(state.names.jobs.name(id)), job.revision);
-  // Fails if the partition's quota share has changed: giving quota away, which lowers it, writes this key.
+  // The transaction fails if the partition's quota share has been lowered: a grant to another partition
+  // writes this key.
   const auto team = job.spec.team;
   transaction.require_revision(state::keys::quota(state.names.teams.name(team)),
                                state.cache.quota(team).revision);
--- a/src/assignments/placement_plan.hpp
+++ b/src/assignments/placement_plan.hpp
@@ -29,8 +29,8 @@
 
 /// Plans one transaction with as many placements, from `first` on and of one partition, as fit; each entirely
 /// or not at all. Skips placements that may have been decided on stale records (under another fencing token,
-/// of a job whose record has changed, on a machine that is gone or terminating), and those too large for any
-/// transaction. Records observed exits too, since the placements use the capacity that they freed.
+/// of a job whose record has changed, on a machine that is deleted or terminating), and those too large for
+/// any transaction. Records observed exits too, since the placements use the capacity that they freed.
 PlacementBatch plan_placements(const ControllerState& state, const std::vector<PlannedPlacement>& placements,
                                std::size_t first, std::uint64_t attempt);
 
--- a/src/assignments/planned_tombstones.hpp
+++ b/src/assignments/planned_tombstones.hpp
@@ -13,8 +13,8 @@
 
 using controller::ControllerState;
 
-/// The tombstone of an exit: the attempt that has ended, and the tasks that are done by it. A gang completes
-/// as a whole; the tasks of a service are never done. `job` is null if it is unknown.
+/// Returns the tombstone of an exit: the attempt that has ended, and the tasks that are done by it. A gang
+/// completes as a whole; the tasks of a service are never done. `job` is null if it is unknown.
 state::Tombstone tombstone_of(const agent::ObservedExit& exit, const jobs::JobRecord* job);
 
 /// Exits that are recorded before the shards that still contain their assignments are rewritten.
@@ -27,22 +27,23 @@
   /// Starts from the stored list, without the tombstones that their shards no longer need.
   PlannedTombstones(const ControllerState& state, core::PartitionId partition);
 
-  /// The stored list, written under larger limits, is over the value limit. It stays unchanged until every
-  /// shard that it names is written without the ended assignments; until then exits go into their shards.
+  /// Returns true if the stored list, written under larger limits, is over the value limit. The list then
+  /// stays unchanged until every shard that it names is written without the ended assignments; until then
+  /// exits go into their shards.
   [[nodiscard]] bool exceeds_limit() const { return exceeds_limit_; }
-  /// The list differs from the stored one, and the transaction writes it.
+  /// Returns true if the list differs from the stored one, so that the transaction writes it.
   [[nodiscard]] bool changed() const { return changed_; }
-  /// Upper bound of the list's stored size.
+  /// Returns an upper bound of the list's stored size.
   [[nodiscard]] std::size_t bytes() const { return bytes_; }
   [[nodiscard]] const std::map<std::string, state::JobTombstones>& shards() const { return shards_; }
-  /// The number of tombstones of the shard.
+  /// Returns the number of tombstones of the shard.
   [[nodiscard]] std::size_t count(const std::string& shard) const;
-  /// The shard whose rewrite shortens the list most. Empty if there are no tombstones.
+  /// Returns the shard whose rewrite shortens the list most, or nullopt if there are no tombstones.
   [[nodiscard]] std::optional<std::string> shard_with_most_tombstones() const;
   /// Applies the shard's tombstones of the job to the assignments that the shard holds of it.
   void apply_to(const std::string& shard, core::JobId job, jobs::JobAssignments& recorded) const;
 
-  /// With this tombstone added, the list stays within the value limit.
+  /// Returns true if the list stays within the value limit when the tombstone is added.
   [[nodiscard]] bool has_room(const std::string& shard, core::JobId job,
                               const state::Tombstone& tombstone) const;
   /// Adds the tombstone. Requires that the list is within the limit and has room for it.
--- a/src/assignments/shard_split.cpp
+++ b/src/assignments/shard_split.cpp
@@ -50,7 +50,7 @@
   std::vector<ShardContents> shards_;
 };
 
-// The done tasks that must not move to another shard.
+// Returns the done tasks that must not move to another shard.
 ShardContents pinned_done_tasks(const ShardContents& contents, const SplitConstraints& constraints) {
   ShardContents first;
   for (const auto job : constraints.jobs_with_pinned_done)
--- a/src/assignments/shard_split.hpp
+++ b/src/assignments/shard_split.hpp
@@ -13,7 +13,7 @@
 /// The contents of one shard, by job.
 using ShardContents = std::map<core::JobId, jobs::JobAssignments>;
 
-/// Upper bound of the stored size of the contents, however their tasks end.
+/// Returns an upper bound of the stored size of the contents, however their tasks end.
 std::size_t max_stored_bytes(const ShardContents& contents, const jobs::Names& names);
 
 /// The constraints of a split.
@@ -24,8 +24,8 @@
   std::set<core::JobId> jobs_to_move;           // these must leave the shard that is split
 };
 
-/// The contents of the shard that is split, first, and of the new shards: each assignment and each done task
-/// is in exactly one of them. Empty if the constraints can't be met.
+/// Returns the contents of the shard that is split, first, and of the new shards: each assignment and each
+/// done task is in exactly one of them. Returns nullopt if the constraints can't be met.
 std::optional<std::vector<ShardContents>> split_shard(const ShardContents& contents,
                                                       const SplitConstraints& constraints,
                                                       const jobs::Names& names);
--- a/src/assignments/write_fences.hpp
+++ b/src/assignments/write_fences.hpp
@@ -18,11 +18,11 @@
   state::Transaction transaction;
 };
 
-/// Partitions whose fence is among the compares.
+/// Returns the partitions whose fence is among the compares.
 std::vector<core::PartitionId> fenced_partitions(const ControllerState& state,
                                                  const std::vector<state::Compare>& compares);
-/// The moves of the due fences of partitions that this controller leads. Each move compares only the fencing
-/// token, so that it succeeds whether or not the unanswered write was applied.
+/// Returns the moves of the due fences of partitions that this controller leads. Each move compares only the
+/// fencing token, so that it succeeds whether or not the unanswered write was applied.
 std::vector<FenceMove> plan_fence_moves(const ControllerState& state);
 
 /// Every write of a leader compares its partition's fence. An unanswered commit may still be applied at any
--- a/src/jobs/intervals.hpp
+++ b/src/jobs/intervals.hpp
@@ -31,7 +31,7 @@
                                [](std::uint32_t value, const Span& span) { return value < span.second; });
     return it != spans_.end() && it->first <= number;
   }
-  // The count of numbers of [from, to) in the set.
+  // Returns how many numbers of [from, to) are in the set.
   [[nodiscard]] std::uint32_t count(std::uint32_t from, std::uint32_t to) const {
     std::uint32_t total = 0;
     for (const auto& [first, end] : spans_) {
--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -48,7 +48,7 @@
   json::object stored;
   const JobSpec& spec = record.spec;
   if (record.status != Status::live) {
-    // Tasks that may still run take resources of machines and of the team's quota.
+    // The team and the need stay, since tasks that may still run use machines and the team's quota.
     stored["st"] = record.status == Status::done ? "done" : "cancelled";
     stored["n"] = spec.tasks;
     stored["team"] = names.teams.name(spec.team);
@@ -133,9 +133,9 @@
 }
 
 // Groups assignments by attempt and machine, so that those of a large array fit into the store's value limit.
-json::value to_json(const JobAssignments& run, const Names& names) {
+json::value to_json(const JobAssignments& recorded, const Names& names) {
   std::map<std::uint64_t, std::map<std::pair<core::MachineId, std::uint64_t>, json::array>> groups;
-  for (const auto& assignment : run.assignments)
+  for (const auto& assignment : recorded.assignments)
     groups[assignment.attempt][{assignment.machine, assignment.agent_incarnation}].push_back(assignment.task);
   json::array assignments;
   for (auto& [attempt, machines] : groups) {
@@ -145,13 +145,13 @@
     assignments.push_back(json::array{attempt, std::move(list)});
   }
   json::array done;
-  for (const auto& [from, to] : run.done.spans()) done.push_back(json::array{from, to});
+  for (const auto& [from, to] : recorded.done.spans()) done.push_back(json::array{from, to});
   return json::object{{"p", std::move(assignments)}, {"d", std::move(done)}};
 }
 
 JobAssignments assignments_from_json(const json::value& value, Names& names) {
   const auto& stored = value.as_object();
-  JobAssignments run;
+  JobAssignments recorded;
   for (const auto& item : stored.at("p").as_array()) {
     const auto& fields = item.as_array();
     const auto attempt = to_uint64(fields.at(0));
@@ -160,28 +160,29 @@
       const auto machine = names.machines.intern(group_fields.at(0).as_string());
       const auto agent_incarnation = to_uint64(group_fields.at(1));
       for (const auto& task : group_fields.at(2).as_array())
-        run.assignments.push_back(
+        recorded.assignments.push_back(
             {static_cast<std::uint32_t>(to_uint64(task)), attempt, machine, agent_incarnation});
     }
   }
   for (const auto& item : stored.at("d").as_array()) {
     const auto& fields = item.as_array();
-    run.done.add(static_cast<std::uint32_t>(to_uint64(fields.at(0))),
-                 static_cast<std::uint32_t>(to_uint64(fields.at(1))));
+    recorded.done.add(static_cast<std::uint32_t>(to_uint64(fields.at(0))),
+                      static_cast<std::uint32_t>(to_uint64(fields.at(1))));
   }
-  return run;
+  return recorded;
 }
 
-std::size_t max_stored_bytes(const JobAssignments& run, const Names& names) {
+std::size_t max_stored_bytes(const JobAssignments& recorded, const Names& names) {
   // Bytes in the stored text. Each span of done tasks: [12345,12346]. Each machine with its first task:
   // ["name",1234,[12345]], which is longer than the span that this task leaves when it ends. Each further
   // task: the span that it leaves. Each attempt: [123456789,[]].
   constexpr std::size_t kFrameBytes = 48, kSpanBytes = 14, kMachineBytes = 20,
                         kAdditionalTaskBytes = kSpanBytes, kAttemptBytes = 15;
-  std::size_t bytes = kFrameBytes + kSpanBytes * run.done.spans().size();
+  std::size_t bytes = kFrameBytes + kSpanBytes * recorded.done.spans().size();
   std::vector<std::pair<std::uint64_t, core::MachineId>> groups;
-  groups.reserve(run.assignments.size());
-  for (const auto& assignment : run.assignments) groups.emplace_back(assignment.attempt, assignment.machine);
+  groups.reserve(recorded.assignments.size());
+  for (const auto& assignment : recorded.assignments)
+    groups.emplace_back(assignment.attempt, assignment.machine);
   std::sort(groups.begin(), groups.end());
   for (std::size_t i = 0; i < groups.size(); ++i) {
     if (i == 0 || groups[i].first != groups[i - 1].first) bytes += kAttemptBytes;
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -40,7 +40,7 @@
 // The expected run time of tasks that run until they are cancelled.
 inline constexpr double kUnlimitedRunTimeS = std::numeric_limits<double>::infinity();
 
-/// The job may use machines of this type. `types`: the types that it allows; empty optional: any.
+/// Returns true if a job may use machines of this type. `types`: the types that the job allows; nullopt: any.
 inline bool type_allowed(const std::optional<std::vector<core::MachineTypeId>>& types,
                          core::MachineTypeId type) {
   return !types || std::find(types->begin(), types->end(), type) != types->end();
@@ -55,7 +55,7 @@
   core::Resources need;
   core::ImageId image;
   double image_gb = 0;
-  std::optional<std::vector<core::MachineTypeId>> allowed_types;  // empty optional: any
+  std::optional<std::vector<core::MachineTypeId>> allowed_types;  // nullopt: any
   std::optional<core::ZoneId> zone;
   bool single_zone = false;
   bool spread = false;
@@ -63,19 +63,19 @@
   double expected_run_s = 0;  // the user's estimate of a task's run time; `kUnlimitedRunTimeS` for a service
   double checkpoint_interval_s = 0;
   double checkpoint_save_s = 0;
-  std::optional<double> deadline_s;
-  double submitted_s = 0;  // time of day
+  std::optional<double> deadline_s;  // after the submission
+  double submitted_s = 0;            // seconds since 1970
 
   [[nodiscard]] bool is_gang() const { return shape == Shape::gang; }
   [[nodiscard]] bool is_service() const { return shape == Shape::service; }
-  // All tasks must run at the same time for the job to be fully useful.
+  // Returns true if all tasks must run at the same time for the job to be fully useful.
   [[nodiscard]] bool needs_all_tasks() const { return shape != Shape::array; }
   [[nodiscard]] bool allows_type(core::MachineTypeId t) const { return type_allowed(allowed_types, t); }
-  // Grace period for a checkpoint when a task is stopped; 0 if the job has no checkpoints.
+  // Returns the grace period for a checkpoint when a task is stopped; 0 if the job has no checkpoints.
   [[nodiscard]] double stop_grace_s() const {
     return checkpoint_interval_s > 0 ? checkpoint_save_s * 1.5 + 2 : 0;
   }
-  // The maximum number of tasks in one zone, as `spread` demands.
+  // Returns the maximum number of tasks in one zone; with `spread` half of all tasks, rounded up.
   [[nodiscard]] std::uint32_t max_tasks_per_zone() const { return spread ? (tasks + 1) / 2 : tasks; }
 };
 
@@ -88,7 +88,7 @@
   bool operator==(const TaskRange&) const = default;
 };
 
-// `jobs/<id>`
+// The record of a job, stored under `jobs/<id>`.
 struct JobRecord {
   Status status = Status::live;
   JobSpec spec;                   // of a job that is not live: only the fields for status and quota
@@ -106,8 +106,8 @@
   bool operator==(const TaskAssignment&) const = default;
 };
 
-// The part of a job in one shard of a partition's records, `runs/<part>/<shard>`. Written by the partition's
-// leader.
+// The assignments and done tasks of one job in one shard of a partition's records, which is stored under
+// `runs/<part>/<shard>` and written by the partition's leader.
 struct JobAssignments {
   std::vector<TaskAssignment> assignments;
   Intervals done;
@@ -117,10 +117,10 @@
 };
 
 json::value to_json(const JobRecord& record, const Names& names);
-json::value to_json(const JobAssignments& run, const Names& names);
-// Upper bound of the record's size in its shard, however its tasks end.
-std::size_t max_stored_bytes(const JobAssignments& run, const Names& names);
-// Upper bound for one more assignment, on a machine that the record does not name yet.
+json::value to_json(const JobAssignments& recorded, const Names& names);
+// Returns an upper bound of the record's size in its shard, however its tasks end.
+std::size_t max_stored_bytes(const JobAssignments& recorded, const Names& names);
+// Upper bound of the size of one more assignment, on a machine that the record does not name yet.
 inline constexpr std::size_t kMaxAssignmentBytes = 48;
 // Both throw on an invalid record: only controllers write records, so the cause is a bug or a newer release.
 JobRecord job_from_json(const json::value& value, Names& names);
--- a/src/ledger/quota_shares.hpp
+++ b/src/ledger/quota_shares.hpp
@@ -10,7 +10,7 @@
 
 /// The quota shares of one team: the amount that each partition's leader may allocate to the team without
 /// coordination (rule `quota`). The shares always add up to the limit. A partition requests what it lacks,
-/// and others grant their surplus. Initially all shares are equal; controllers of all versions must assume
+/// and others grant their surplus. Initially all shares are equal; controllers of all releases must assume
 /// that.
 ///
 /// Only CPUs and accelerators are limited; a limit of 0 means unlimited.
@@ -26,7 +26,7 @@
   [[nodiscard]] const core::Resources& share(core::PartitionId partition) const {
     return share_.at(partition.index);
   }
-  /// The amount that the partition requests in addition to its share.
+  /// Returns the amount that the partition requests in addition to its share.
   [[nodiscard]] const core::Resources& requested(core::PartitionId partition) const {
     return requested_.at(partition.index);
   }
--- a/src/ledger/usage.hpp
+++ b/src/ledger/usage.hpp
@@ -24,9 +24,9 @@
   void advance(double now_s);
   /// Returns the decayed usage by team; the newest window has weight 1.
   [[nodiscard]] std::vector<double> decayed() const;
-  /// Core-seconds by team, newest window first.
+  /// Returns the core-seconds by team, newest window first.
   [[nodiscard]] const std::deque<std::vector<double>>& windows() const { return windows_; }
-  /// The number of the newest window.
+  /// Returns the number of the newest window.
   [[nodiscard]] std::int64_t index() const { return index_; }
   /// Restores the windows recorded by an earlier leader, newest first; `index` is the number of the newest.
   void restore(std::int64_t index, std::deque<std::vector<double>> windows);
--- a/src/sched/distribute.cpp
+++ b/src/sched/distribute.cpp
@@ -14,13 +14,14 @@
 constexpr double kQueueLengthScore = 5;     // decides if all are full or have enough free capacity
 constexpr double kNoCapacityScore = -1000;  // tasks would wait until machines are added
 
-// Negative if the backlog itself does not fit.
+// Returns the free capacity that the backlog leaves; negative if the backlog itself does not fit.
 double free_after_backlog(const PartitionCapacity& partition) { return partition.free - partition.backlog; }
 
-// A partition without machines has a small weight, since machines may be added.
+// Returns the weight of the partition when tasks wait. It is small, but not 0, for a partition without
+// machines, since machines may be added.
 double capacity_weight(const PartitionCapacity& partition) { return std::max(1.0, partition.capacity); }
 
-// Higher is better.
+// Returns a score of the partition for this many tasks of the job; the highest score is best.
 double suitability(const PartitionCapacity& partition, double tasks) {
   double score = std::min(free_after_backlog(partition), tasks) / std::max(1.0, tasks) * kFreeCapacityScore;
   if (partition.has_image) score += kImageScore;
@@ -45,9 +46,9 @@
   [[nodiscard]] std::uint32_t remaining() const { return remaining_; }
   [[nodiscard]] std::uint32_t assigned_to(core::PartitionId partition) { return shares_[partition]; }
   // Assigns up to `wanted` more tasks to the partition, limited by the remaining tasks and the zone limit.
-  void assign(const PartitionCapacity& partition, double wanted, std::uint32_t zone_cap) {
+  void assign(const PartitionCapacity& partition, double wanted, std::uint32_t zone_limit) {
     auto& in_zone = in_zone_[partition.zone];
-    const auto zone_room = zone_cap - std::min(zone_cap, in_zone);
+    const auto zone_room = zone_limit - std::min(zone_limit, in_zone);
     const auto count =
         std::min({remaining_, zone_room, static_cast<std::uint32_t>(std::max(0.0, std::floor(wanted)))});
     shares_[partition.partition] += count;
@@ -76,8 +77,8 @@
   std::map<core::ZoneId, std::uint32_t> in_zone_;
 };
 
-// Returns an equal share of the tasks for each zone, rounded up.
-std::uint32_t even_zone_cap(const jobs::JobSpec& spec, const std::vector<PartitionCapacity>& partitions) {
+// Returns an equal share of the tasks for each zone, rounded up, within the job's limit for each zone.
+std::uint32_t even_zone_limit(const jobs::JobSpec& spec, const std::vector<PartitionCapacity>& partitions) {
   std::set<core::ZoneId> zones;
   for (const auto& partition : partitions) zones.insert(partition.zone);
   const auto count = static_cast<std::uint32_t>(zones.size());
@@ -96,29 +97,30 @@
                                        });
     return {{0, spec.tasks, best->partition}};
   }
-  // Has the effect of assigning task by task, but assigns in bulk: first to free capacity, then in proportion
-  // to total capacity.
+  // Assigns tasks in bulk, with the effect of assigning them one by one: first to free capacity, then in
+  // proportion to total capacity.
   std::sort(partitions.begin(), partitions.end(),
             [&](const PartitionCapacity& a, const PartitionCapacity& b) {
               return suitability(a, spec.tasks) > suitability(b, spec.tasks);
             });
   TaskShares shares(spec.tasks);
-  const auto zone_cap = spec.max_tasks_per_zone();
-  // An uneven spread would lose more replicas than necessary in a zone outage.
+  const auto zone_limit = spec.max_tasks_per_zone();
+  // Spreads replicas evenly over zones: an uneven spread would lose more of them than necessary in a zone
+  // outage.
   if (spec.is_service() && spec.spread) {
-    const auto even_cap = even_zone_cap(spec, partitions);
+    const auto even_limit = even_zone_limit(spec, partitions);
     for (const auto& partition : partitions)
-      shares.assign(partition, free_after_backlog(partition), even_cap);
+      shares.assign(partition, free_after_backlog(partition), even_limit);
   }
   for (const auto& partition : partitions)
     shares.assign(partition, free_after_backlog(partition) - shares.assigned_to(partition.partition),
-                  zone_cap);
+                  zone_limit);
   double capacity = 0;
   for (const auto& partition : partitions) capacity += capacity_weight(partition);
   const std::uint32_t rest = shares.remaining();
   for (const auto& partition : partitions)
-    shares.assign(partition, std::ceil(rest * capacity_weight(partition) / capacity), zone_cap);
-  for (const auto& partition : partitions) shares.assign(partition, shares.remaining(), zone_cap);
+    shares.assign(partition, std::ceil(rest * capacity_weight(partition) / capacity), zone_limit);
+  for (const auto& partition : partitions) shares.assign(partition, shares.remaining(), zone_limit);
   // With `spread` and too few zones, tasks beyond all zone limits wait in the first partition.
   shares.assign_remaining(partitions.front().partition);
   return shares.ranges();
--- a/src/sched/distribute.hpp
+++ b/src/sched/distribute.hpp
@@ -15,7 +15,7 @@
   core::ZoneId zone;
   bool allowed = true;     // the partition is in a zone that the job allows
   double free = 0;         // tasks that fit now
-  double backlog = 0;      // the resource need of waiting tasks
+  double backlog = 0;      // tasks that would fit in the resources that waiting tasks need
   double capacity = 0;     // tasks that fit when the partition is empty
   bool has_image = false;  // at least one machine has the job's image
 };
--- a/src/sched/place.cpp
+++ b/src/sched/place.cpp
@@ -11,14 +11,14 @@
 
 // Terms of `start_cost`, in seconds of waiting time or an equivalent penalty. Only the order of the machines'
 // costs matters, not their values.
-constexpr double kFetchOverheadS = 2;       // added to any fetch, regardless of the image size
-constexpr double kOnDemandMachineCost = 3;  // if the job may use spot instances instead
-constexpr double kScarcityCost = 10;        // if another job class needs all of its capacity on such machines
-constexpr double kMaxScarcity = 3;          // caps the sum over job classes
-constexpr double kDominantShareCost = 1.5;  // per accelerator made unusable for others
-constexpr double kUnusedGpusCost = 4;       // if all accelerators would stay unused
-constexpr double kUnusedCpusCost = 2;       // less than for accelerators, which are scarcer
-constexpr double kReplicaFetchWeight = 10;  // replicas should start within seconds
+constexpr double kFetchOverheadS = 2;         // added to any fetch, regardless of the image size
+constexpr double kOnDemandMachineCost = 3;    // if the job may use spot instances instead
+constexpr double kScarcityCost = 10;          // if another job class needs all machines that can run it
+constexpr double kMaxScarcity = 3;            // caps the sum over job classes
+constexpr double kDominantShareCost = 1.5;    // per accelerator made unusable for others
+constexpr double kUnusedGpusCost = 4;         // if all accelerators would stay unused
+constexpr double kUnusedCpusCost = 2;         // less than for accelerators, which are scarcer
+constexpr double kReplicaFetchWeight = 10;    // replicas should start within seconds
 constexpr double kColocatedReplicaCost = 50;  // for a second replica of a service on one machine
 
 // Avoids an infinite cost for a machine type without a fetch rate.
--- a/src/sched/place.hpp
+++ b/src/sched/place.hpp
@@ -41,7 +41,7 @@
   int priority = 0;      // a `jobs::Priority`
   bool gang = false;
   bool is_service = false;  // service replicas, which run without an end
-  bool spot = false;        // may use spot machines
+  bool spot = false;        // may use spot instances
   std::optional<std::vector<core::MachineTypeId>> allowed_types;  // nullopt: any
   std::optional<core::ZoneId> zone;                               // nullopt: any
   std::uint32_t count = 0;                                        // number of waiting tasks
@@ -79,6 +79,7 @@
   }
 };
 
+/// The placement of one task on a machine.
 struct Placement {
   std::size_t demand = 0;  // index into the demands
   std::uint32_t task = 0;
@@ -94,7 +95,7 @@
 };
 
 /// Fills in `Node::scarcity`: for each job class that can run on the node, the number of its tasks divided by
-/// the number of its tasks that fit in the partition.
+/// the number of its tasks that fit in the empty partition.
 void compute_scarcity(std::vector<Node>& nodes, const std::vector<JobClassProfile>& job_classes);
 
 /// Returns true if the node has the image or is fetching it.
@@ -107,7 +108,7 @@
 /// are expected to end before that job starts.
 bool respects_reservation(const Demand& demand, const Node& node);
 
-/// Returns true if the job allows the machine's type and zone, and spot instances if it is one (rule
+/// Returns true if the job allows the machine's type and zone, and spot instances if the machine is one (rule
 /// `wrong_place`).
 bool is_allowed_on(const Demand& demand, const Node& node);
 
--- a/src/sched/preempt.cpp
+++ b/src/sched/preempt.cpp
@@ -15,7 +15,8 @@
 constexpr std::size_t kMaxDemandsTried = 64;  // for preemption
 constexpr std::size_t kMaxGangsTried = 8;     // for reservations
 
-// Without this limit, a gang of 16 machines was stopped for one small task.
+// The maximum ratio of stopped to placed resources. Without this limit, a gang of 16 machines was stopped for
+// one small task.
 constexpr double kMaxStoppedPerPlaced = 2.5;
 
 // Added to the lost work of a stopped task. Stopping a gang task stops the whole gang.
@@ -25,16 +26,16 @@
 constexpr double kPriorityStopFactor = 3;
 
 // Tolerance for rounding errors when costs are compared.
-constexpr double kCostSlack = 1e-9;
+constexpr double kCostTolerance = 1e-9;
 
 // CPUs that are equivalent to one accelerator.
 constexpr double kCpusPerGpu = 8;
 
 // Indices over the running tasks; constant during a round.
 struct RunningIndex {
-  std::vector<std::vector<std::size_t>> by_node;  // running tasks
+  std::vector<std::vector<std::size_t>> by_node;  // by index of the node
   std::unordered_map<core::MachineId, std::size_t> node_index;
-  std::unordered_map<core::JobId, std::vector<std::size_t>> gang;
+  std::unordered_map<core::JobId, std::vector<std::size_t>> by_gang;
 };
 
 RunningIndex index_running(const std::vector<Node>& nodes, const std::vector<RunningTask>& running) {
@@ -44,7 +45,7 @@
   for (std::size_t i = 0; i < running.size(); ++i) {
     if (const auto node = index.node_index.find(running[i].machine); node != index.node_index.end())
       index.by_node[node->second].push_back(i);
-    if (running[i].gang) index.gang[running[i].job].push_back(i);
+    if (running[i].gang) index.by_gang[running[i].job].push_back(i);
   }
   return index;
 }
@@ -100,7 +101,7 @@
   double cost = 0;
 };
 
-// Searches preemptions for one demand, on a copy of the round's state.
+// Searches tasks to preempt for one demand, on a copy of the round's state.
 class RoomSearch {
  public:
   RoomSearch(const Snapshot& snapshot, const Demand& demand, std::size_t demand_index, SearchState state,
@@ -117,7 +118,7 @@
   void run() {
     for (std::size_t node = 0; node < snapshot_.nodes.size(); ++node) {
       if (!could_run_on(demand_, snapshot_.nodes[node])) continue;
-      if (const auto room = victims_with_start_cost(node)) queue_.emplace_back(room->cost, node);
+      if (const auto victims = victims_with_start_cost(node)) queue_.emplace_back(victims->cost, node);
     }
     std::make_heap(queue_.begin(), queue_.end(), std::greater<>());
     while (places_ < places_wanted_ && places_ < demand_.zone_headroom && quota_.allows(demand_.need) &&
@@ -125,7 +126,7 @@
       take_cheapest();
   }
 
-  // Returns true if the search failed for lack of nodes, not because of the job's own limits.
+  // Returns true if the search failed for lack of nodes and not because of the job's own limits.
   [[nodiscard]] bool infeasible() const {
     const bool blocked =
         places_ < std::min<std::size_t>(places_wanted_, demand_.zone_headroom) && quota_.allows(demand_.need);
@@ -137,8 +138,8 @@
     // Stopping a gang on many machines for one small task wastes more resources than it provides.
     double stopped = 0;
     for (const auto victim : preemption_.victims) stopped += gpu_equivalents(snapshot_.running[victim].need);
-    const double made = gpu_equivalents(demand_.need) * static_cast<double>(places_);
-    return stopped <= kMaxStoppedPerPlaced * made;
+    const double placed = gpu_equivalents(demand_.need) * static_cast<double>(places_);
+    return stopped <= kMaxStoppedPerPlaced * placed;
   }
 
   SearchState& state() { return state_; }
@@ -187,10 +188,11 @@
 
   // Returns `victims_on` with the cost of starting the task added.
   [[nodiscard]] std::optional<Victims> victims_with_start_cost(std::size_t node) const {
-    auto room = victims_on(node);
-    if (room)
-      room->cost = room->cost + snapshot_.nodes[node].start_delay_s + fetch_s(demand_, snapshot_.nodes[node]);
-    return room;
+    auto victims = victims_on(node);
+    if (victims)
+      victims->cost =
+          victims->cost + snapshot_.nodes[node].start_delay_s + fetch_s(demand_, snapshot_.nodes[node]);
+    return victims;
   }
 
   void enqueue(double cost, std::size_t node) {
@@ -204,10 +206,10 @@
     std::pop_heap(queue_.begin(), queue_.end(), std::greater<>());
     const auto [queued_cost, node] = queue_.back();
     queue_.pop_back();
-    const auto room = victims_with_start_cost(node);
-    if (!room) return;
-    if (room->cost > queued_cost + kCostSlack) return enqueue(room->cost, node);
-    for (const auto victim : room->tasks) stop(victim);
+    const auto victims = victims_with_start_cost(node);
+    if (!victims) return;
+    if (victims->cost > queued_cost + kCostTolerance) return enqueue(victims->cost, node);
+    for (const auto victim : victims->tasks) stop(victim);
     state_.free[node] -= demand_.need;
     quota_.used += demand_.need;
     preemption_.machines.push_back(snapshot_.nodes[node].id);
@@ -218,7 +220,7 @@
   // Stops the victim, or all tasks of its gang.
   void stop(std::size_t victim) {
     if (!snapshot_.running[victim].gang) return stop_one(victim);
-    for (const auto i : snapshot_.index.gang.at(snapshot_.running[victim].job)) stop_one(i);
+    for (const auto i : snapshot_.index.by_gang.at(snapshot_.running[victim].job)) stop_one(i);
   }
   void stop_one(std::size_t i) {
     if (state_.stopped[i]) return;
@@ -346,7 +348,7 @@
   for (const auto& node : nodes) state.free.push_back(node.free);
   state.stopped.assign(running.size(), 0);
   state.guarantees = std::move(guarantees);
-  std::size_t attempts = 0;
+  std::size_t tried = 0;
   std::vector<const Demand*> infeasible;  // demands for which no preemption was found
   for (const auto index : unplaced) {
     const Demand& demand = demands[index];
@@ -354,7 +356,7 @@
     if (std::any_of(infeasible.begin(), infeasible.end(),
                     [&](const Demand* other) { return is_at_least_as_hard(demand, *other); }))
       continue;
-    if (++attempts > kMaxDemandsTried) break;
+    if (++tried > kMaxDemandsTried) break;
     RoomSearch search(snapshot, demand, index, state, quotas.at(demand.team.index));
     search.run();
     if (search.infeasible()) infeasible.push_back(&demand);
@@ -378,9 +380,9 @@
   std::vector<char> reserved(nodes.size(), 0);  // by node
   for (std::size_t i = 0; i < nodes.size(); ++i) reserved[i] = nodes[i].reserved_for.valid() ? 1 : 0;
   auto reserved_count = static_cast<std::size_t>(std::count(reserved.begin(), reserved.end(), 1));
-  std::size_t attempts = 0;
+  std::size_t tried = 0;
   for (const auto gang : gangs) {
-    if (reserved_count >= max_machines || ++attempts > kMaxGangsTried) break;
+    if (reserved_count >= max_machines || ++tried > kMaxGangsTried) break;
     const auto places = earliest_places(demands[gang], nodes, reserved, running, index);
     if (!places) continue;
     // The longest waiting gang gets its reservation even if it exceeds the limit in a small partition.
--- a/src/sched/preempt.hpp
+++ b/src/sched/preempt.hpp
@@ -30,9 +30,9 @@
   double cpus = 0, gpus = 0;  // guarantee; 0: none
   /// Returns true if the team would use at least its guarantee without `released`, or has no guarantee.
   [[nodiscard]] bool fully_used_without(const core::Resources& released) const {
-    constexpr double kSlack = core::Resources::kRoundingTolerance;
-    const bool by_gpus = gpus > 0 && used.gpus - released.gpus >= gpus - kSlack;
-    const bool by_cpus = cpus > 0 && used.cpus - released.cpus >= cpus - kSlack;
+    constexpr double kTolerance = core::Resources::kRoundingTolerance;
+    const bool by_gpus = gpus > 0 && used.gpus - released.gpus >= gpus - kTolerance;
+    const bool by_cpus = cpus > 0 && used.cpus - released.cpus >= cpus - kTolerance;
     return (gpus <= 0 && cpus <= 0) || by_gpus || by_cpus;
   }
 };
@@ -44,10 +44,10 @@
   std::vector<core::MachineId> machines;  // one entry for each task of the demand
 };
 
-/// Returns whether the demand may preempt any task at all. This cheap check excludes most demands.
+/// Returns true if there may be a task that the demand may preempt. This cheap check excludes most demands.
 bool may_preempt_any(const Demand& demand, int lowest_running_priority);
 
-/// Returns whether the demand may preempt the task, by one strict order: within the team's guarantee first,
+/// Returns true if the demand may preempt the task, by one strict order: within the team's guarantee first,
 /// then priority. Tasks of equal or higher priority are protected, unless their team exceeds its guarantee
 /// and the demand is within its own. `guarantees` is indexed by team.
 bool may_preempt_task(const Demand& demand, const RunningTask& task,
@@ -68,9 +68,10 @@
   double ready_in_s = 0;  // until the last machine is expected to be free
 };
 
-/// Reserves machines for gangs that have waited longer than `min_wait_s` and get no room by preemption.
+/// Returns reservations for gangs that have waited longer than `min_wait_s` and get no room by preemption.
 /// Without reservations a stream of small jobs takes all freed resources, and a large gang never starts. At
-/// most `max_machines` machines are reserved at a time, including existing reservations.
+/// most `max_machines` machines are reserved at a time, including existing reservations; only a single gang
+/// may exceed that.
 std::vector<Reservation> reserve_for_gangs(const std::vector<Node>& nodes, const std::vector<Demand>& demands,
                                            const std::vector<std::size_t>& unplaced,
                                            const std::vector<RunningTask>& running,
--- a/src/scheduling/backlog.hpp
+++ b/src/scheduling/backlog.hpp
@@ -13,7 +13,7 @@
   sched::Demand demand;
 };
 
-/// Items by partition, in the order of the round's ranking.
+/// Items grouped by partition, each group in the round's order of placing.
 using Backlog = std::vector<BacklogItem>;
 
 }  // namespace finchrun::scheduling
--- a/src/scheduling/cluster_load.cpp
+++ b/src/scheduling/cluster_load.cpp
@@ -11,13 +11,13 @@
 
 constexpr double kMaxLoadAgeS = 0.5;  // avoids a recomputation for each submission
 
-// Excludes machines that are known to be unusable and machines in an unknown state.
+// Returns false for machines that are known to be unusable and for machines in an unknown state.
 bool counts_as_capacity(const ControllerState& state, const agent::Machine& machine, core::TimePoint now) {
   if (machine.quarantined || machine.deleted || machine.terminating || machine.termination_notice_s)
     return false;
   if (!machine.partition.valid()) return false;
   if (state.leads(machine.partition)) return state.is_schedulable(machine, now);
-  // Its heartbeats go to another leader, so only the cloud provider's list shows its state.
+  // The machine's heartbeats go to another leader, so only the cloud provider's list shows its state.
   return machine.listed && machine.status == "running";
 }
 
--- a/src/scheduling/cluster_load.hpp
+++ b/src/scheduling/cluster_load.hpp
@@ -10,7 +10,7 @@
 
 /// Returns the capacity of each partition for the job, by partition index. It is an estimate, especially for
 /// partitions with other leaders, and not used for placement. It is computed from `state.cluster_load`, which
-/// this function refreshes every half second.
+/// this function recomputes once it is half a second old.
 std::vector<sched::PartitionCapacity> partition_capacities(controller::ControllerState& state,
                                                            const jobs::JobSpec& spec, core::TimePoint now);
 
--- a/src/scheduling/partition_writer.cpp
+++ b/src/scheduling/partition_writer.cpp
@@ -12,12 +12,12 @@
 
 // The minimum interval between rounds that are triggered early.
 constexpr double kMinRoundIntervalS = 0.5;
-// Collects task exits for one write. Single writes for thousands of tasks used half of the write budget of
-// all controllers.
+// The pause collects task exits for one write. Without it, single writes for thousands of tasks used half of
+// the write budget of all controllers.
 constexpr double kMinWritePauseS = 0.2;
 constexpr double kUsageRecordsPerWindow = 3;
 // The maximum usage added by one round, in round intervals. Usage during a longer pause is unknown.
-constexpr double kMaxRoundsBooked = 2;
+constexpr double kMaxRoundsAccounted = 2;
 // Shares of the write budget. Partition leaders write most; other controllers write only submissions. The
 // sum exceeds 1, since controllers seldom use their shares at the same time.
 constexpr double kLeadersWriteShare = 1.0;
@@ -60,7 +60,7 @@
 asio::awaitable<void> PartitionWriter::run_round(core::TimePoint now, std::uint64_t cache_version) {
   next_round_ = now + core::to_duration(tuning_.scheduling_interval_s);
   const double round_s =
-      std::min(tuning_.scheduling_interval_s * kMaxRoundsBooked, core::seconds_between(last_round_, now));
+      std::min(tuning_.scheduling_interval_s * kMaxRoundsAccounted, core::seconds_between(last_round_, now));
   last_round_ = now;
   round_cache_version_ = cache_version;
   // The round's transactions also record task exits, so that the flush has little left to write.
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -11,14 +11,15 @@
 
 using controller::ControllerState;
 
-// Stopping a replica costs the gap until its successor runs, not its run time so far.
+// Stopping a replica costs the gap until its replacement runs, not its run time so far.
 constexpr double kReplicaRestartGapS = 30;
 // Stopping a task younger than this costs extra, since its user has hardly gained from the start.
 constexpr double kYoungTaskMaxAgeS = 30;
 constexpr double kYoungTaskExtraCostS = 20;
 // The cost of restarting from a checkpoint, in addition to the time to save it.
 constexpr double kRestartCostS = 5;
-// The minimum remaining run time of a task that has run longer than estimated.
+// The minimum remaining run time of a task that has run longer than estimated: a fraction of the estimate,
+// and a constant.
 constexpr double kMinRemainingFraction = 0.1;
 constexpr double kMinRemainingS = 1;
 
@@ -28,7 +29,7 @@
 constexpr double kStopSlackS = 4;
 
 // A gang's reservation lasts for its expected waiting time with a margin, up to a maximum. If the estimate
-// was wrong, it expires and the gang can get other machines.
+// was wrong, the reservation expires and the gang can get other machines.
 constexpr double kReservationMargin = 1.5;
 constexpr double kReservationSlackS = 5;
 constexpr double kMaxReservationS = 60;
@@ -78,7 +79,8 @@
   return task;
 }
 
-// Adds the tasks that the round has placed. Otherwise their resources would never appear to become free.
+// Adds the tasks that the round has placed. Without them, the resources that they use would never appear to
+// become free.
 void append_placed(const sched::Plan& plan, const std::vector<sched::Demand>& demands,
                    std::vector<sched::RunningTask>& running) {
   for (const auto& placement : plan.placements) {
@@ -168,10 +170,12 @@
     evict_from(state, id, *machine.termination_notice_s, gangs);
   }
   for (const auto id : gangs) {
-    state.cache.for_each_assignments(id, [&](core::PartitionId partition, const jobs::JobAssignments& run) {
-      if (!state.leads(partition)) return;
-      for (const auto& assignment : run.assignments) evict_gracefully(state, id, assignment);
-    });
+    state.cache.for_each_assignments(id,
+                                     [&](core::PartitionId partition, const jobs::JobAssignments& recorded) {
+                                       if (!state.leads(partition)) return;
+                                       for (const auto& assignment : recorded.assignments)
+                                         evict_gracefully(state, id, assignment);
+                                     });
   }
 }
 
@@ -224,7 +228,7 @@
     double longest_grace_s = 0;
     for (const auto index : preemption.victims) {
       const auto& victim = running[index];
-      // All tasks of a gang must receive the stop within gang_peer_s of each other, with time to save.
+      // All tasks of a gang must receive the stop within `gang_peer_s` of each other, with time to save.
       const double grace_s = state.cache.job(victim.job)->spec.stop_grace_s();
       longest_grace_s = std::max(longest_grace_s, grace_s);
       state.fleet.preempting[{victim.job, victim.task, victim.attempt}] = grace_s;
--- a/src/scheduling/quota_sharing.hpp
+++ b/src/scheduling/quota_sharing.hpp
@@ -27,6 +27,7 @@
                                            const std::vector<sched::Demand>& demands,
                                            const std::vector<core::Resources>& team_used);
 
+/// Planned changes of the teams' records.
 struct QuotaSharingPlan {
   /// One transaction for each team whose record changes, with the lines to log after the commit.
   std::vector<assignments::PlannedTransaction> transactions;
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -20,7 +20,7 @@
   std::size_t tasks = 0;  // number of tasks to move
 };
 
-// All tasks of the job run in one partition, so they can only move together.
+// Returns true if all tasks of the job run in one partition, so that they can only move together.
 bool must_move_whole(const jobs::JobSpec& spec) { return spec.is_gang() || spec.single_zone; }
 
 // Returns the number of additional tasks that the partition's zone may run, by the ranges in that zone.
@@ -28,12 +28,12 @@
 // have no assignment.
 std::uint32_t zone_headroom(const ControllerState& state, const jobs::JobRecord& job,
                             core::PartitionId partition) {
-  std::uint32_t there = 0;
+  std::uint32_t in_zone = 0;
   for (const auto& range : job.ranges)
     if (state.partitions.zone(range.partition) == state.partitions.zone(partition))
-      there += range.to - range.from;
-  const auto cap = job.spec.max_tasks_per_zone();
-  return cap - std::min(cap, there);
+      in_zone += range.to - range.from;
+  const auto zone_limit = job.spec.max_tasks_per_zone();
+  return zone_limit - std::min(zone_limit, in_zone);
 }
 
 // Returns the partition with the most free capacity for the waiting tasks.
@@ -45,7 +45,7 @@
   double max_free_after_backlog = 0;
   for (const auto& capacity : partition_capacities(state, job.spec, now)) {
     double free_after_backlog = capacity.free - capacity.backlog;
-    // A move within the zone does not affect `scatter`.
+    // A move within the zone does not affect `spread`.
     if (job.spec.spread && state.partitions.zone(capacity.partition) != state.partitions.zone(item.partition))
       free_after_backlog =
           std::min(free_after_backlog, static_cast<double>(zone_headroom(state, job, capacity.partition)));
--- a/src/scheduling/round_view.cpp
+++ b/src/scheduling/round_view.cpp
@@ -20,7 +20,7 @@
 // The expected additional start time on a cordoned machine, where starts have failed recently.
 constexpr double kCordonedStartDelayS = 30;
 
-// Stands for a share of 0 of a limited team, since a limit of 0 means unlimited.
+// Replaces a share of 0 of a limited team, since a limit of 0 means unlimited.
 constexpr double kMinLimit = 1e-9;
 
 template <class F>
@@ -28,32 +28,34 @@
   for (std::uint32_t p = 0; p < state.partitions.size(); ++p) f(core::PartitionId{p});
 }
 
-// Advances the usage windows of the partitions led here to `wall_s`. After a change of leadership, continues
-// from the record of the earlier leader.
+// Advances the usage windows of the partitions that this controller leads to `wall_s`. After a change of
+// leadership, continues from the record of the earlier leader.
 void advance_usage_windows(ControllerState& state, double wall_s) {
   for_each_partition(state, [&](core::PartitionId partition) {
     if (!state.leads(partition)) return;
     auto& usage = state.usage[partition.index];
-    auto& usage_from = state.usage_fencing_tokens[partition.index];
-    if (usage_from != state.fencing_token(partition)) {
+    auto& usage_token = state.usage_fencing_tokens[partition.index];
+    if (usage_token != state.fencing_token(partition)) {
       const auto& record = state.cache.usage(partition);
       if (!record.windows.empty()) usage.restore(record.index, record.windows);
-      usage_from = state.fencing_token(partition);
+      usage_token = state.fencing_token(partition);
     }
     usage.advance(wall_s);
   });
 }
 
-// Adds `seconds` of usage for each task that heartbeats have confirmed in the partitions led here.
-void book_usage(ControllerState& state, double wall_s, double seconds) {
+// Adds `seconds` of usage for each task that heartbeats have confirmed in the partitions that this controller
+// leads.
+void account_usage(ControllerState& state, double wall_s, double seconds) {
   const auto teams = state.settings.teams.size();
   state.cache.for_each_assignments(
-      [&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& run) {
-        if (run.assignments.empty() || !state.leads(partition)) return;
+      [&](core::JobId id, core::PartitionId partition, const jobs::JobAssignments& recorded) {
+        if (recorded.assignments.empty() || !state.leads(partition)) return;
         const auto* job = state.cache.job(id);
         if (!job || job->spec.team.index >= teams) return;
         const auto running = std::count_if(
-            run.assignments.begin(), run.assignments.end(), [&](const jobs::TaskAssignment& assignment) {
+            recorded.assignments.begin(), recorded.assignments.end(),
+            [&](const jobs::TaskAssignment& assignment) {
               return state.fleet.confirmed_starts.contains({id, assignment.task, assignment.attempt});
             });
         state.usage[partition.index].add(
@@ -92,7 +94,8 @@
   return guarantees;
 }
 
-// Requires leadership, no fence that is due, and a cache that includes all writes before the last fence.
+// Returns true if this controller leads the partition, its fence is not due, and the cache includes all
+// writes up to the last move of the fence.
 bool may_place_in(const ControllerState& state, core::PartitionId partition) {
   return state.leads(partition) && !state.fence_due[partition.index] &&
          state.cache.revision() >= state.fence_move_revision[partition.index];
@@ -170,11 +173,12 @@
   }
 }
 
+// Returns true if a task of the job may be on a machine of another zone than the partition's.
 bool may_run_in_other_zone(const ControllerState& state, core::JobId id, core::PartitionId partition) {
   bool elsewhere = false;
-  state.cache.for_each_assignments(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
+  state.cache.for_each_assignments(id, [&](core::PartitionId other, const jobs::JobAssignments& recorded) {
     elsewhere = elsewhere || (state.partitions.zone(other) != state.partitions.zone(partition) &&
-                              !run.assignments.empty());
+                              !recorded.assignments.empty());
   });
   return elsewhere;
 }
@@ -215,21 +219,21 @@
 
 std::uint32_t zone_headroom(const ControllerState& state, core::JobId id, core::PartitionId partition) {
   const auto& job = *state.cache.job(id);
-  // `together` in the request: no task may start here while any task, including old attempts, may be in
-  // another zone.
+  // No task of a single-zone job may start here while any task, including old attempts, may be in another
+  // zone.
   if (job.spec.single_zone && may_run_in_other_zone(state, id, partition)) return 0;
-  // `scatter` in the request: counts all tasks that other partitions in the zone may place, so that leaders
-  // need no coordination.
+  // `spread` limits the tasks in a zone. Counts all tasks that other partitions in the zone may place, so
+  // that leaders need no coordination.
   std::uint32_t in_zone = 0;
   for (const auto& range : job.ranges)
     if (range.partition != partition &&
         state.partitions.zone(range.partition) == state.partitions.zone(partition))
       in_zone += range.to - range.from;
-  state.cache.for_each_assignments(id, [&](core::PartitionId other, const jobs::JobAssignments& run) {
-    if (other == partition) in_zone += static_cast<std::uint32_t>(run.assignments.size());
+  state.cache.for_each_assignments(id, [&](core::PartitionId other, const jobs::JobAssignments& recorded) {
+    if (other == partition) in_zone += static_cast<std::uint32_t>(recorded.assignments.size());
   });
-  const auto cap = job.spec.max_tasks_per_zone();
-  return cap - std::min(cap, in_zone);
+  const auto zone_limit = job.spec.max_tasks_per_zone();
+  return zone_limit - std::min(zone_limit, in_zone);
 }
 
 std::optional<sched::Demand> make_demand(const ControllerState& state, core::JobId id,
@@ -273,7 +277,7 @@
   view.used_by_team = controller::sum_by_team(used, state.settings.teams.size());
   view.guarantees = guarantees_of(state.settings.teams, view.used_by_team);
   advance_usage_windows(state, wall_s);
-  book_usage(state, wall_s, round_s);
+  account_usage(state, wall_s, round_s);
   view.decayed_usage = decayed_usage(state, wall_s);
   state.update_job_class_profiles();
   evict_from_reclaimed_machines(state);
--- a/src/scheduling/usage_recorder.hpp
+++ b/src/scheduling/usage_recorder.hpp
@@ -1,4 +1,5 @@
-// Records the usage windows of the partitions led here, so that the next leader continues from them.
+// Records the usage windows of the partitions that this controller leads, so that the next leader continues
+// from them.
 #pragma once
 
 #include <vector>
@@ -12,8 +13,8 @@
 namespace asio = boost::asio;
 
 /// Returns one write for each partition that this controller leads and whose earlier record it has restored
-/// under the current fencing token; each compares that token. Writes as many of the newest windows as fit in
-/// one value, since the oldest have the least weight, in whole core-seconds.
+/// under the current fencing token; each compares that token. A record has as many of the newest windows as
+/// fit in one value, in whole core-seconds; the oldest are left out, since they have the least weight.
 std::vector<state::Transaction> plan_usage_records(const controller::ControllerState& state);
 
 /// Records usage. Usage lost between two records affects only the accuracy of fair sharing.
--- a/src/scheduling/waiting_tasks.cpp
+++ b/src/scheduling/waiting_tasks.cpp
@@ -10,16 +10,17 @@
   has_waiting_ = cache.done_tasks(id) + cache.placed_tasks(id) < tasks;
   if (!has_waiting_) return;
   busy_.assign(tasks, false);
-  cache.for_each_assignments(id, [&](core::PartitionId, const jobs::JobAssignments& run) { mark_busy(run); });
+  cache.for_each_assignments(
+      id, [&](core::PartitionId, const jobs::JobAssignments& recorded) { mark_busy(recorded); });
 }
 
-void WaitingTasks::mark_busy(const jobs::JobAssignments& run) {
+void WaitingTasks::mark_busy(const jobs::JobAssignments& recorded) {
   const auto tasks = job_->spec.tasks;
-  // An ended replica is started again, so `done` of a service, recorded by earlier versions, is ignored.
+  // An ended replica is started again, so `done` of a service, recorded by earlier releases, is ignored.
   if (!job_->spec.is_service())
-    for (const auto& [from, to] : run.done.spans())
+    for (const auto& [from, to] : recorded.done.spans())
       std::fill(busy_.begin() + std::min(from, tasks), busy_.begin() + std::min(to, tasks), true);
-  for (const auto& assignment : run.assignments)
+  for (const auto& assignment : recorded.assignments)
     if (assignment.task < tasks) busy_[assignment.task] = true;
 }
 
--- a/src/scheduling/waiting_tasks.hpp
+++ b/src/scheduling/waiting_tasks.hpp
@@ -25,7 +25,7 @@
                                                        std::size_t max_count) const;
 
  private:
-  void mark_busy(const jobs::JobAssignments& run);
+  void mark_busy(const jobs::JobAssignments& recorded);
 
   const jobs::JobRecord* job_;
   bool has_waiting_ = false;
--- a/tests/assignments/assignment_writer_test.cpp
+++ b/tests/assignments/assignment_writer_test.cpp
@@ -69,31 +69,31 @@
 
 TEST(AssignmentWriter, DropsFinishedJobsFromWrittenShards) {
   SinglePartition leader;
-  const auto over = leader.job("req-1", 1, false), live = leader.job("req-2", 1, false);
+  const auto finished = leader.job("req-1", 1, false), live = leader.job("req-2", 1, false);
   {
     AssignmentWriter writer(leader.state, leader.partition);
-    writer.add(over, leader.assignments(1, 9));
+    writer.add(finished, leader.assignments(1, 9));
     PlannedTransaction transaction;
     writer.write_to(transaction);
     leader.apply(transaction);
   }
   {
     AssignmentWriter writer(leader.state, leader.partition);
-    writer.record_exit({over, leader.partition, 0, 9, true});
-    EXPECT_EQ(writer.done_tasks(over), 1u);
+    writer.record_exit({finished, leader.partition, 0, 9, true});
+    EXPECT_EQ(writer.done_tasks(finished), 1u);
     PlannedTransaction transaction;
     writer.write_to(transaction);
     leader.apply(transaction);
   }
   leader.state.cache.apply(
-      {"jobs/req-1", jobs::to_json(completed_record(*leader.state.cache.job(over)), leader.state.names),
+      {"jobs/req-1", jobs::to_json(completed_record(*leader.state.cache.job(finished)), leader.state.names),
        ++leader.revision});
   AssignmentWriter writer(leader.state, leader.partition);
   writer.add(live, leader.assignments(1, 12));
   PlannedTransaction transaction;
   writer.write_to(transaction);
   leader.apply(transaction);
-  EXPECT_TRUE(leader.state.cache.shard_assignments(over).empty());
+  EXPECT_TRUE(leader.state.cache.shard_assignments(finished).empty());
   EXPECT_EQ(leader.state.cache.placed_tasks(live), 1u);
 }
 
--- a/tests/assignments/earlier_release_reader.hpp
+++ b/tests/assignments/earlier_release_reader.hpp
@@ -18,17 +18,17 @@
   }
   [[nodiscard]] std::uint32_t done(const std::string& job) const {
     std::uint32_t sum = 0;
-    for (const auto& [_, runs] : shards_)
-      if (const auto run = runs.find(job); run != runs.end()) sum += run->second.done.size();
+    for (const auto& [_, by_job] : shards_)
+      if (const auto found = by_job.find(job); found != by_job.end()) sum += found->second.done.size();
     return sum;
   }
 
  private:
-  using Runs = std::map<std::string, jobs::JobAssignments>;  // by job
-  using Items = std::map<std::string, std::vector<state::Tombstone>>;
+  using AssignmentsByJob = std::map<std::string, jobs::JobAssignments>;  // by job
+  using TombstonesByJob = std::map<std::string, std::vector<state::Tombstone>>;
 
   void read_shard(const std::string& name, const boost::json::value& value) {
-    Runs next;
+    AssignmentsByJob next;
     for (const auto& item : value.at("jobs").as_object())
       next[std::string(item.key())] = jobs::assignments_from_json(item.value(), names_);
     shards_[name] = std::move(next);
@@ -50,14 +50,14 @@
   void apply_tombstones(const std::string& name) {
     const auto shard = shards_.find(name);
     if (shard == shards_.end()) return;
-    for (const auto& [job, items] : tombstones_[name])
-      if (const auto run = shard->second.find(job); run != shard->second.end())
-        state::apply_tombstones(run->second, items);
+    for (const auto& [job, tombstones] : tombstones_[name])
+      if (const auto found = shard->second.find(job); found != shard->second.end())
+        state::apply_tombstones(found->second, tombstones);
   }
 
   jobs::Names& names_;
-  std::map<std::string, Runs> shards_;
-  std::map<std::string, Items> tombstones_;
+  std::map<std::string, AssignmentsByJob> shards_;
+  std::map<std::string, TombstonesByJob> tombstones_;
 };
 
 }  // namespace finchrun::assignments
--- a/tests/assignments/limits_test.cpp
+++ b/tests/assignments/limits_test.cpp
@@ -174,7 +174,7 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 // The shard has more contents than one transaction of 1 KiB values can hold. Its split waits until enough
-// tasks have exited, and until then only the observed exits show them.
+// tasks have exited, and no write exceeds the limits meanwhile.
 TEST(SmallLimits, ShardTooLargeForOneTransactionWaitsForExits) {
   Upgrade upgrade({100, 20, 1, 4});
   const auto id = upgrade.job("req-1", 140);
--- a/tests/assignments/recorder_plans_test.cpp
+++ b/tests/assignments/recorder_plans_test.cpp
@@ -97,7 +97,7 @@
   EXPECT_EQ(mixed.transaction.starts.size(), 1u) << "the other placement is not affected";
 }
 
-TEST_F(PlanPlacements, SkipsGoneOrTerminatingMachines) {
+TEST_F(PlanPlacements, SkipsDeletedOrTerminatingMachines) {
   auto& machine = leader.state.fleet.find_or_add(leader.state.names, "host-100000");
   for (auto* flag : {&machine.deleted, &machine.terminating}) {
     *flag = true;
--- a/tests/assignments/single_partition.hpp
+++ b/tests/assignments/single_partition.hpp
@@ -16,7 +16,7 @@
   return settings;
 }
 
-/// Leads partition "a.0"; its machines are host-100000, host-100001, ...
+/// A controller that leads partition "a.0". The machines of the partition are host-100000, host-100001, ...
 struct SinglePartition {
   explicit SinglePartition(const config::Settings& settings = single_partition_settings())
       : state(settings, {}) {
--- a/tests/jobs/job_test.cpp
+++ b/tests/jobs/job_test.cpp
@@ -42,17 +42,18 @@
   EXPECT_EQ(to_json(read, names), to_json(record, names));
   EXPECT_EQ(read.ranges, record.ranges);
 
-  JobAssignments run;
-  run.assignments.push_back({2, 99, names.machines.intern("host-1"), 3});
-  run.done.add(0, 2);
-  EXPECT_EQ(to_json(assignments_from_json(to_json(run, names), names), names), to_json(run, names));
+  JobAssignments job_assignments;
+  job_assignments.assignments.push_back({2, 99, names.machines.intern("host-1"), 3});
+  job_assignments.done.add(0, 2);
+  EXPECT_EQ(to_json(assignments_from_json(to_json(job_assignments, names), names), names),
+            to_json(job_assignments, names));
 
   // The record of a finished job keeps the resources of its last tasks, which may still run.
   record.status = Status::cancelled;
-  const auto over = job_from_json(to_json(record, names), names);
-  EXPECT_EQ(over.status, Status::cancelled);
-  EXPECT_EQ(over.spec.team, record.spec.team);
-  EXPECT_DOUBLE_EQ(over.spec.need.ram_gb, 64.5);
+  const auto finished = job_from_json(to_json(record, names), names);
+  EXPECT_EQ(finished.status, Status::cancelled);
+  EXPECT_EQ(finished.spec.team, record.spec.team);
+  EXPECT_DOUBLE_EQ(finished.spec.need.ram_gb, 64.5);
 }
 
 // Records as an earlier release writes them.
--- a/tests/sched/place_test.cpp
+++ b/tests/sched/place_test.cpp
@@ -144,11 +144,11 @@
 // A replica should start within seconds: it is placed where its image is cached, or is fetched without
 // concurrent fetches, and not next to another replica of its service.
 TEST(Place, PrefersFastestStartForReplica) {
-  auto busy = node(0, 4), alone = node(1, 4), warm = node(2, 4), mate = node(3, 4);
+  auto busy = node(0, 4), alone = node(1, 4), warm = node(2, 4), colocated = node(3, 4);
   busy.fetches_in_progress = 2;
   warm.images.push_back(ImageId{7});
-  mate.images.push_back(ImageId{7});
-  mate.replicas.push_back(JobId{7});
+  colocated.images.push_back(ImageId{7});
+  colocated.replicas.push_back(JobId{7});
   auto d = demand(7, 1, 0, false);
   d.need = {1, 0, 4};
   d.image_gb = 1;
@@ -158,8 +158,8 @@
     std::vector<Node> nodes;
     MachineId chosen;
   };
-  for (const auto& c : {Case{{busy, alone}, alone.id}, Case{{busy, alone, warm, mate}, warm.id},
-                        Case{{mate, alone}, alone.id}}) {
+  for (const auto& c : {Case{{busy, alone}, alone.id}, Case{{busy, alone, warm, colocated}, warm.id},
+                        Case{{colocated, alone}, alone.id}}) {
     const auto plan = place(c.nodes, {d}, {weight(1)}, {TeamQuota{}});
     ASSERT_EQ(plan.placements.size(), 1u);
     EXPECT_EQ(plan.placements[0].machine, c.chosen);
--- a/tests/scheduling/cluster_load_test.cpp
+++ b/tests/scheduling/cluster_load_test.cpp
@@ -63,7 +63,7 @@
     [](const auto& info) { return std::string(info.param.name); });
 
 // A machine in a partition led here whose agent does not yet accept this leader must not count as capacity.
-TEST(ClusterLoad, CountsOwnMachinesOnceUsable) {
+TEST(ClusterLoad, CountsOwnMachinesOnceSchedulable) {
   SinglePartition deployment(two_zones());
   auto& machine = add_machine(deployment, "host-1", kOwnPartition);
   EXPECT_DOUBLE_EQ(partition_capacities(deployment.state, spec_of(2), kNow)[0].free, 0);
--- a/tests/scheduling/rebalancer_test.cpp
+++ b/tests/scheduling/rebalancer_test.cpp
@@ -156,7 +156,7 @@
                        {"jobs/req", jobs::to_json(record, deployment.state.names), ++deployment.revision});
                  },
                  {}},
-        PlanCase{"scattered_array_moves_half_per_zone",
+        PlanCase{"spread_array_keeps_half_in_each_zone",
                  jobs::Shape::array,
                  8,
                  [](auto& deployment, auto id) {
--- a/tests/scheduling/round_view_test.cpp
+++ b/tests/scheduling/round_view_test.cpp
@@ -20,14 +20,14 @@
     settings.zones = {"a", "b"};
     return settings;
   }
-  core::JobId job(jobs::Shape shape, bool one_zone, bool spread) {
+  core::JobId job(jobs::Shape shape, bool single_zone, bool spread) {
     jobs::JobRecord record;
     record.spec.job_class = state.names.job_classes.intern("batch");
     record.spec.team = core::TeamId{0};
     record.spec.image = state.names.images.intern("img");
     record.spec.shape = shape;
     record.spec.tasks = 6;
-    record.spec.single_zone = one_zone;
+    record.spec.single_zone = single_zone;
     record.spec.spread = spread;
     record.ranges = {{0, 3, own}, {3, 6, other}};
     state.cache.apply({"jobs/req-1", jobs::to_json(record, state.names), ++deployment.revision});
--- a/tests/scheduling/waiting_tasks_test.cpp
+++ b/tests/scheduling/waiting_tasks_test.cpp
@@ -22,8 +22,8 @@
     cache.apply({"jobs/req-1", jobs::to_json(record, names), 1});
     job = *names.jobs.find("req-1");
   }
-  void record(const char* shard, const jobs::JobAssignments& run) {
-    const boost::json::object by_job{{"req-1", jobs::to_json(run, names)}};
+  void record(const char* shard, const jobs::JobAssignments& job_assignments) {
+    const boost::json::object by_job{{"req-1", jobs::to_json(job_assignments, names)}};
     cache.apply({std::string("runs/") + shard, boost::json::object{{"jobs", by_job}}, ++revision});
   }
   jobs::Names names;
@@ -33,10 +33,10 @@
 };
 
 jobs::JobAssignments placed_and_done(Records& records, std::uint32_t placed, std::uint32_t done) {
-  jobs::JobAssignments run;
-  run.assignments = {{placed, 9, records.names.machines.intern("host-1"), 1}};
-  run.done.add(done, done + 1);
-  return run;
+  jobs::JobAssignments job_assignments;
+  job_assignments.assignments = {{placed, 9, records.names.machines.intern("host-1"), 1}};
+  job_assignments.done.add(done, done + 1);
+  return job_assignments;
 }
 
 TEST(WaitingTasks, AreNeitherDoneNorPlacedInAnyPartition) {
@@ -61,9 +61,9 @@
 
 TEST(WaitingTasks, NoneIfAllAreDone) {
   Records records(jobs::Shape::array);
-  jobs::JobAssignments run;
-  run.done.add(0, 10);
-  records.record("a.0/s1", run);
+  jobs::JobAssignments job_assignments;
+  job_assignments.done.add(0, 10);
+  records.record("a.0/s1", job_assignments);
   const WaitingTasks waiting(records.cache, records.job);
   EXPECT_FALSE(waiting.has_waiting());
   EXPECT_EQ(waiting.count(kFirst), 0u);
