--- a/tests/autoscaling/scale_in_plan_test.cpp
+++ b/tests/autoscaling/scale_in_plan_test.cpp
@@ -46,11 +46,12 @@
   void set_silent_for(double seconds) { machine().last_heartbeat = ago(seconds); }
   void place_task(bool cancelled = false) {
     const auto id = job("req-1", 1, false);
-    jobs::JobAssignments run;
-    run.assignments = {{0, 7, machine().id, 2}};
+    jobs::JobAssignments job_assignments;
+    job_assignments.assignments = {{0, 7, machine().id, 2}};
     state.cache.apply(
         {"runs/a.0/0",
-         boost::json::object{{"jobs", boost::json::object{{"req-1", jobs::to_json(run, state.names)}}}},
+         boost::json::object{
+             {"jobs", boost::json::object{{"req-1", jobs::to_json(job_assignments, state.names)}}}},
          ++revision});
     if (!cancelled) return;
     auto record = *state.cache.job(id);
@@ -86,7 +87,7 @@
                fixture.machine().terminating = true;
              },
              kKept},
-        Case{"failed_and_gone",
+        Case{"failed_and_deleted",
              [](Fixture& fixture) {
                fixture.machine().status = "failed";
                fixture.machine().deleted = true;
@@ -132,7 +133,7 @@
                fixture.set_silent_for(21);
              },
              ScaleInReason::unlisted},
-        Case{"silent_within_the_wait",
+        Case{"silent_within_grace_period",
              [](Fixture& fixture) {
                fixture.add_healthy_machine("other");
                fixture.set_silent_for(44);
@@ -144,7 +145,7 @@
                fixture.set_silent_for(46);
              },
              ScaleInReason::silent},
-        Case{"silent_only_to_an_earlier_leader",
+        Case{"silent_but_leader_is_new",
              [](Fixture& fixture) {
                fixture.add_healthy_machine("other");
                fixture.set_silent_for(46);
@@ -161,7 +162,7 @@
                fixture.set_silent_for(34);
              },
              ScaleInReason::silent},
-        Case{"starting_for_long",
+        Case{"starting_within_limit",
              [](Fixture& fixture) {
                fixture.machine().status = "starting";
                fixture.machine().has_heartbeat = false;
--- a/tests/autoscaling/scale_out_plan_test.cpp
+++ b/tests/autoscaling/scale_out_plan_test.cpp
@@ -13,7 +13,8 @@
 
 const core::TimePoint kNow{core::to_duration(10000)};
 
-/// A controller that leads partition "a.0", with the machine types "cpu.4" and, more expensive, "gpu.1".
+/// A controller that leads partition "a.0", with the machine types "cpu.4" and, more expensive, "gpu.1" in
+/// its zone, and "cpu.far" in another zone.
 struct Fixture : SinglePartition {
   Fixture() {
     state.fleet.machine_types = {{"cpu.4", {4, 0, 16}, 50, 1, 4, 1, 60, {"a"}},
@@ -22,10 +23,11 @@
     for (const auto& type : state.fleet.machine_types)
       state.fleet.machine_type_ids.push_back(state.names.types.intern(type.name));
   }
-  agent::Machine& add_machine(const std::string& name, std::uint32_t type, bool spot, const char* status) {
+  agent::Machine& add_machine(const std::string& name, std::uint32_t type_index, bool spot,
+                              const char* status) {
     auto& machine = state.fleet.find_or_add(state.names, name);
     machine.partition = partition;
-    machine.type = state.fleet.machine_type_ids.at(type);
+    machine.type = state.fleet.machine_type_ids.at(type_index);
     machine.spot = spot;
     machine.status = status;
     machine.has_heartbeat = machine.status == "running";
--- a/tests/cloud/cloud_client_test.cpp
+++ b/tests/cloud/cloud_client_test.cpp
@@ -82,7 +82,7 @@
 
 TEST(CloudClient, ReadsTheMachineListPageByPage) {
   Fixture fixture({{200, kFirstPage}, {200, kLastPage}});
-  const auto every_s = fixture.cloud.list_interval_s();
+  const auto interval_s = fixture.cloud.list_interval_s();
   const auto result = sim::run_to_completion([&] { return fixture.cloud.machines(); });
   const auto* machines = std::get_if<std::vector<ListedMachine>>(&result);
   ASSERT_TRUE(machines);
@@ -100,7 +100,7 @@
   EXPECT_EQ(fixture.network.targets,
             (std::vector<std::string>{"/hosts?limit=500", "/hosts?limit=500&from=m-1"}));
   // A list of two pages is read half as often.
-  EXPECT_DOUBLE_EQ(fixture.cloud.list_interval_s(), 2 * every_s);
+  EXPECT_DOUBLE_EQ(fixture.cloud.list_interval_s(), 2 * interval_s);
 }
 
 TEST(CloudClient, PartialListIsAnError) {
@@ -108,40 +108,41 @@
     http::ClientResponse second_page;
     Error error;
   };
-  for (const auto& c : {Case{{500, ""}, Error::refused}, Case{{0, ""}, Error::no_answer},
-                        Case{{200, R"({"perches":[]})"}, Error::malformed}}) {
-    Fixture fixture({{200, kFirstPage}, c.second_page});
+  for (const auto& test_case : {Case{{500, ""}, Error::refused}, Case{{0, ""}, Error::no_answer},
+                                Case{{200, R"({"perches":[]})"}, Error::malformed}}) {
+    Fixture fixture({{200, kFirstPage}, test_case.second_page});
     const auto result = sim::run_to_completion([&] { return fixture.cloud.machines(); });
     ASSERT_TRUE(std::holds_alternative<Error>(result));
-    EXPECT_EQ(std::get<Error>(result), c.error);
+    EXPECT_EQ(std::get<Error>(result), test_case.error);
   }
 }
 
-TEST(CloudClient, RentsMachines) {
+TEST(CloudClient, ScaleOutReturnsRentedMachinesOrError) {
   struct Case {
     http::ClientResponse answer;
     std::variant<std::vector<std::string>, Error> result;
   };
   const std::vector<std::string> both{"m-1", "m-2"};
-  for (const auto& c : {Case{{200, R"({"perches":["m-1","m-2"]})"}, both},
-                        Case{{503, R"({"error":"no capacity"})"}, Error::no_capacity},
-                        Case{{503, R"({"error":"busy"})"}, Error::refused}, Case{{0, ""}, Error::no_answer},
-                        Case{{200, R"({"perches":["m-1",2]})"}, Error::malformed}}) {
-    Fixture fixture({c.answer});
+  for (const auto& test_case :
+       {Case{{200, R"({"perches":["m-1","m-2"]})"}, both},
+        Case{{503, R"({"error":"no capacity"})"}, Error::no_capacity},
+        Case{{503, R"({"error":"busy"})"}, Error::refused}, Case{{0, ""}, Error::no_answer},
+        Case{{200, R"({"perches":["m-1",2]})"}, Error::malformed}}) {
+    Fixture fixture({test_case.answer});
     const auto result =
         sim::run_to_completion([&] { return fixture.cloud.scale_out("perch-0-7-1", "gpu.8", "a", true, 3); });
     EXPECT_EQ(fixture.network.bodies.at(0),
               R"({"hire":"perch-0-7-1","rack":"gpu.8","hall":"a","loaners":true,"howMany":3})");
-    ASSERT_EQ(result.index(), c.result.index()) << c.answer.body;
+    ASSERT_EQ(result.index(), test_case.result.index()) << test_case.answer.body;
     if (const auto* rented = std::get_if<Rented>(&result))
-      EXPECT_EQ(rented->machines, std::get<0>(c.result));
+      EXPECT_EQ(rented->machines, std::get<0>(test_case.result));
     else
-      EXPECT_EQ(std::get<Error>(result), std::get<Error>(c.result)) << c.answer.body;
+      EXPECT_EQ(std::get<Error>(result), std::get<Error>(test_case.result)) << test_case.answer.body;
   }
 }
 
 // Only status 200 proves that the machines are gone.
-TEST(CloudClient, ReleasesMachines) {
+TEST(CloudClient, ReleaseSucceedsOnlyWithStatus200) {
   for (const int status : {200, 0, 404, 429, 500, 503}) {
     Fixture fixture({{status, ""}});
     const auto result = sim::run_to_completion([&] { return fixture.cloud.release({"m-1", "m-2"}); });
--- a/tests/state/key_value_store_test.cpp
+++ b/tests/state/key_value_store_test.cpp
@@ -11,11 +11,11 @@
 
 using sim::ScriptedNetwork;
 
-config::Settings make_settings(double write_rps, int txn_ops) {
+config::Settings make_settings(double writes_per_s, int max_transaction_writes) {
   config::Settings settings;
   settings.controller_count = 3;
-  settings.store_limits.writes_per_s = write_rps;
-  settings.store_limits.max_transaction_writes = txn_ops;
+  settings.store_limits.writes_per_s = writes_per_s;
+  settings.store_limits.max_transaction_writes = max_transaction_writes;
   return settings;
 }
 
@@ -25,7 +25,7 @@
   CommitStatus outcome;
 };
 class CommitAnswer : public testing::TestWithParam<CommitCase> {};
-TEST_P(CommitAnswer, HasStatus) {
+TEST_P(CommitAnswer, HasExpectedStatus) {
   ScriptedNetwork network;
   KeyValueStore store(network, make_settings(20, 16));
   network.answers.push_back({GetParam().status, GetParam().body});
@@ -47,7 +47,7 @@
 // The store would answer 400 to every attempt.
 TEST(KeyValueStore, DoesNotSendTransactionOverALimit) {
   struct Case {
-    std::size_t changes, bytes;
+    std::size_t writes, bytes;
     CommitStatus outcome;
   };
   for (const auto& test_case : {Case{5, 100, CommitStatus::done}, Case{6, 100, CommitStatus::too_large},
@@ -58,12 +58,12 @@
     KeyValueStore store(network, settings);
     network.answers.push_back({200, R"({"epoch":432})"});
     Transaction transaction;
-    for (std::size_t i = 0; i < test_case.changes; ++i)
+    for (std::size_t i = 0; i < test_case.writes; ++i)
       transaction.writes.push_back(
           {"a/" + std::to_string(i), json::value(std::string(test_case.bytes, 'x'))});
     EXPECT_EQ(sim::run_to_completion([&] { return store.commit(std::move(transaction)); }).outcome,
               test_case.outcome)
-        << test_case.changes << " " << test_case.bytes;
+        << test_case.writes << " " << test_case.bytes;
     EXPECT_EQ(network.targets.size(), test_case.outcome == CommitStatus::done ? 1u : 0u);
   }
 }
@@ -171,31 +171,32 @@
 
 // If a round's transaction were larger than the budget ever grants, nothing would be placed any more.
 TEST(WriteBudget, LargestTransactionFitsIntoABurst) {
-  for (const double rps : {5.0, 20.0, 50.0}) {
+  for (const double writes_per_s : {5.0, 20.0, 50.0}) {
     ScriptedNetwork network;
-    KeyValueStore store(network, make_settings(rps, 16));
+    KeyValueStore store(network, make_settings(writes_per_s, 16));
     EXPECT_LE(store.max_writes(), 16u);
     EXPECT_TRUE(
         store.try_spend_writes(static_cast<int>(store.max_writes()), KeyValueStore::WritePurpose::records))
-        << rps;
+        << writes_per_s;
   }
 }
 
 // Five controllers, two of them leaders: together they request little more than the store grants, leaders
 // can write all shards of a round at once, and records leave enough for a submission.
 TEST(WriteBudget, LeadersHaveALargerShare) {
-  for (const double rps : {20.0, 50.0}) {
+  for (const double writes_per_s : {20.0, 50.0}) {
     ScriptedNetwork network;
-    KeyValueStore leader(network, make_settings(rps, 16)), other(network, make_settings(rps, 16));
+    KeyValueStore leader(network, make_settings(writes_per_s, 16)),
+        other(network, make_settings(writes_per_s, 16));
     leader.set_write_share(1.0 / 2);
     other.set_write_share(0.25 / 3);
-    EXPECT_TRUE(leader.try_spend_writes(6, KeyValueStore::WritePurpose::records)) << rps;
+    EXPECT_TRUE(leader.try_spend_writes(6, KeyValueStore::WritePurpose::records)) << writes_per_s;
     while (leader.try_spend_writes(1, KeyValueStore::WritePurpose::records)) continue;
-    EXPECT_TRUE(leader.try_spend_writes(2, KeyValueStore::WritePurpose::user_requests)) << rps;
+    EXPECT_TRUE(leader.try_spend_writes(2, KeyValueStore::WritePurpose::user_requests)) << writes_per_s;
     int granted_writes = 0;
     while (other.try_spend_writes(1, KeyValueStore::WritePurpose::user_requests)) ++granted_writes;
     EXPECT_GE(granted_writes, 4) << "submissions that arrive together";
-    EXPECT_LE(granted_writes, rps / 4);
+    EXPECT_LE(granted_writes, writes_per_s / 4);
   }
 }
 
--- a/tests/state/records_test.cpp
+++ b/tests/state/records_test.cpp
@@ -65,8 +65,8 @@
   EXPECT_EQ(quota.partitions[1].second.cpus, 3);
   EXPECT_EQ(quota.partitions[1].second.gpus, 1);
   EXPECT_EQ(json::serialize(encode(quota, fixture.names)), text);
-  // A partition missing from the record has neither a share nor a request; an unknown partition in it is an
-  // error.
+  // A partition that was added after the record was written has neither a share nor a request; an unknown
+  // partition in the record is an error.
   EXPECT_EQ(decode_quota(json::parse(R"({"parts":{"a.0":[1,2,3,4]}})"), 9, 2, fixture.names)
                 .partitions[1]
                 .first.cpus,
@@ -121,15 +121,15 @@
 TEST(Records, TombstonesRemoveAssignmentsAndMarkTasksDone) {
   RecordsFixture fixture;
   const auto machine = fixture.names.machines.intern("m-1");
-  jobs::JobAssignments run;
-  run.assignments = {{0, 7, machine, 1}, {1, 7, machine, 1}};
-  EXPECT_FALSE(apply_tombstones(run, {{0, 6, {0, 0}}})) << "tombstone of another attempt";
-  EXPECT_TRUE(apply_tombstones(run, {{0, 7, {0, 0}}}));
-  EXPECT_TRUE(apply_tombstones(run, {{0, 7, {0, 1}}}))
+  jobs::JobAssignments job_assignments;
+  job_assignments.assignments = {{0, 7, machine, 1}, {1, 7, machine, 1}};
+  EXPECT_FALSE(apply_tombstones(job_assignments, {{0, 6, {0, 0}}})) << "tombstone of another attempt";
+  EXPECT_TRUE(apply_tombstones(job_assignments, {{0, 7, {0, 0}}}));
+  EXPECT_TRUE(apply_tombstones(job_assignments, {{0, 7, {0, 1}}}))
       << "exit reported first without and then with a result";
-  EXPECT_FALSE(apply_tombstones(run, {{0, 7, {0, 1}}})) << "applied again";
-  EXPECT_EQ(run.assignments.size(), 1u);
-  EXPECT_EQ(run.done.size(), 1u);
+  EXPECT_FALSE(apply_tombstones(job_assignments, {{0, 7, {0, 1}}})) << "applied again";
+  EXPECT_EQ(job_assignments.assignments.size(), 1u);
+  EXPECT_EQ(job_assignments.done.size(), 1u);
 }
 
 }  // namespace
--- a/tests/state/state_cache_test.cpp
+++ b/tests/state/state_cache_test.cpp
@@ -89,7 +89,7 @@
   const auto machine = *fixture.names.machines.find("m");
   ASSERT_EQ(fixture.cache.on_machine(machine).size(), 1u);
   EXPECT_EQ(fixture.cache.on_machine(machine)[0].assignment.attempt, 7u);
-  // The job has another entry in a second shard of the partition; both count.
+  // A second shard of the partition has another entry of the job; both count.
   fixture.cache.apply({"runs/a.0/1", shard(R"({"p":[[8,[["m",1,[1,2]]]]],"d":[[3,5]]})"), 11});
   EXPECT_EQ(fixture.cache.on_machine(machine).size(), 3u);
   EXPECT_EQ(fixture.cache.placed_tasks(core::JobId{0}), 3u);
@@ -105,7 +105,7 @@
   std::vector<KeyUpdate> moved{{"runs/a.0/0", shard(R"({"p":[[7,[["m",1,[1]]]]],"d":[]})"), 12},
                                {"runs/a.0/1", shard(R"({"p":[],"d":[[0,1]]})"), 12},
                                {"ends/a.0", parse("{}"), 12}};
-  const auto by_key = [](const KeyUpdate& a, const KeyUpdate& fixture) { return a.key < fixture.key; };
+  const auto by_key = [](const KeyUpdate& a, const KeyUpdate& b) { return a.key < b.key; };
   std::sort(moved.begin(), moved.end(), by_key);
   do {
     CacheFixture fixture;
